--- a/crates/door/tests/worlds.rs
+++ b/crates/admission/tests/worlds.rs
@@ -5,7 +5,7 @@
 
 use ashglade::ids::{Group, Sess};
 use ashglade::time::{Instant, Span};
-use ashglade_door::{Came, Door, Request, Terms, Verdict};
+use ashglade_admission::{Came, Door, Request, Terms, Verdict};
 use expect_test::expect;
 
 fn terms(groups: usize, seed: u64) -> Terms {
--- a/crates/director/src/lists.rs
+++ b/crates/director/src/lists.rs
@@ -1,14 +1,14 @@
 //! Box lists as files: read when they change and, where changes are not told, every so often. What that comes to is
-//! decided in `ashglade_roster::watch`; what is in force is written down, for the director that comes after this one.
+//! decided in `ashglade_discovery::watch`; what is in force is written down, for the director that comes after this one.
 
 use std::ffi::{OsStr, OsString};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
 use ashglade::time::Span;
+use ashglade_discovery::List;
+use ashglade_discovery::watch::{Found, News, Watch};
 use ashglade_engine::Input;
-use ashglade_roster::List;
-use ashglade_roster::watch::{Found, News, Watch};
 use ashglade_settings::{Names, Settings};
 use notify::Watcher as _;
 use tokio::sync::mpsc;
--- a/crates/director/src/orders.rs
+++ b/crates/director/src/orders.rs
@@ -90,7 +90,7 @@
     }
 }
 
-impl ashglade_talk::Engine for Core {
+impl ashglade_peer_transport::Engine for Core {
     async fn tell(&self, input: Input) {
         Core::tell(self, input).await;
     }
--- a/crates/director/src/serve.rs
+++ b/crates/director/src/serve.rs
@@ -5,9 +5,9 @@
 use std::sync::{Arc, Mutex};
 
 use ashglade::time::Span;
+use ashglade_discovery::List;
 use ashglade_engine::{DoorTerms, Input, Start};
 use ashglade_ledger::{Ledger, Terms, pages};
-use ashglade_roster::List;
 use ashglade_rtsp::digest::Users;
 use ashglade_settings::Settings;
 use bytes::Bytes;
@@ -36,7 +36,7 @@
     /// Where each round is written, if anywhere.
     pub record: Option<PathBuf>,
     /// Broken on purpose by the lab, to see that its judge finds out. No command in service sets it.
-    pub defect: Option<ashglade_talk::Defect>,
+    pub defect: Option<ashglade_peer_transport::Defect>,
 }
 
 /// Reads and checks settings and box lists; the list that would be in force, and where lists are read.
@@ -134,7 +134,7 @@
     let (seen, outcomes) = mpsc::channel(INPUTS);
     let talk = talk.and_then(|socket| {
         let view = shared_view(&settings, &options.settings);
-        ashglade_talk::Started::new(&settings, socket, clock, outcomes, view).map(|mut started| {
+        ashglade_peer_transport::Started::new(&settings, socket, clock, outcomes, view).map(|mut started| {
             started.terms.defect = options.defect;
             started
         })
@@ -152,7 +152,7 @@
         tokio::spawn(crate::hls::run(shared.clone(), listener, hls));
     }
     if let Some(talk) = talk {
-        tokio::spawn(ashglade_talk::run(talk, shared.core.clone()));
+        tokio::spawn(ashglade_peer_transport::run(talk, shared.core.clone()));
     }
     info!(%address, director = settings.headend.me, nodes = list.entries.len(), "serving");
 
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -6,9 +6,9 @@
 use ashglade::interface::{Ending, Headend, Viewing};
 use ashglade::policy::{Director, Round};
 use ashglade::time::{Instant, Span};
+use ashglade_admission::{Came, Door, Request, Terms, Verdict};
 use ashglade_catalogue::Missing;
-use ashglade_door::{Came, Door, Request, Terms, Verdict};
-use ashglade_roster::{List, Roster, Standing};
+use ashglade_discovery::{List, Roster, Standing};
 
 use crate::answers::{Hand, Hands, Tally};
 use crate::desk::Desk;
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -22,7 +22,7 @@
 pub mod words;
 
 pub use answers::Tally;
-pub use ashglade_door::{Terms as DoorTerms, Turned, View as DoorView};
+pub use ashglade_admission::{Terms as DoorTerms, Turned, View as DoorView};
 pub use engine::{Engine, Seen, Start};
 pub use words::{Answer, Effect, Input, Lapse, Load, Standing, Told, Want, Why};
 
--- a/crates/engine/src/tests.rs
+++ b/crates/engine/src/tests.rs
@@ -5,7 +5,7 @@
 use ashglade::ids::*;
 use ashglade::interface::*;
 use ashglade::time::{Instant, Span};
-use ashglade_roster::{Entry, List, Standing, id_of};
+use ashglade_discovery::{Entry, List, Standing, id_of};
 use expect_test::{Expect, expect};
 
 use super::*;
--- a/crates/engine/src/words.rs
+++ b/crates/engine/src/words.rs
@@ -3,8 +3,8 @@
 use ashglade::ids::{Cell, Group, Node, Rung, Sess, SetupNo, Title};
 use ashglade::interface::{Ending, Place};
 use ashglade::time::{Instant, Span};
-use ashglade_door::Turned;
-use ashglade_roster::List;
+use ashglade_admission::Turned;
+use ashglade_discovery::List;
 use serde::{Deserialize, Serialize};
 
 /// What a viewer asks for.
--- a/crates/lab/src/emulator/talk.rs
+++ b/crates/lab/src/emulator/talk.rs
@@ -4,10 +4,10 @@
 
 use ashglade::time::Instant;
 use ashglade_engine::{Input, Seen};
+use ashglade_peer_transport::codec::{Codec, Datagram};
+use ashglade_peer_transport::{LOOK, Teller};
 use ashglade_settings::Settings;
 use ashglade_shared::{Member, Terms, Word, verdict};
-use ashglade_talk::codec::{Codec, Datagram};
-use ashglade_talk::{LOOK, Teller};
 
 use super::world::{Event, World};
 use crate::day::Day;
@@ -27,9 +27,9 @@
 impl Talker {
     pub fn new(settings: &Settings) -> Option<Talker> {
         Some(Talker {
-            terms: ashglade_talk::terms(settings)?,
+            terms: ashglade_peer_transport::terms(settings)?,
             codec: Codec::new(&settings.talk.as_ref()?.secret)?,
-            repeats_span: ashglade_talk::repeats_span(settings),
+            repeats_span: ashglade_peer_transport::repeats_span(settings),
             shares: settings.talk.as_ref()?.share.is_some(),
             state: None,
         })
--- a/crates/lab/src/emulator/troubles.rs
+++ b/crates/lab/src/emulator/troubles.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ashglade_roster::Standing;
+use ashglade_discovery::Standing;
 
 use crate::day::Kind;
 use crate::day::schema::Trouble;
--- a/crates/lab/src/emulator/world.rs
+++ b/crates/lab/src/emulator/world.rs
@@ -6,8 +6,8 @@
 use ashglade::ids::{Node, SetupNo};
 use ashglade::interface::Care;
 use ashglade::time::Instant;
+use ashglade_discovery::{Entry, List, Standing};
 use ashglade_engine::{Answer, Input};
-use ashglade_roster::{Entry, List, Standing};
 use ashglade_settings::{Settings, Title};
 use ashglade_shared::Word;
 
--- a/crates/lab/src/lists.rs
+++ b/crates/lab/src/lists.rs
@@ -4,8 +4,8 @@
 use std::sync::Mutex;
 
 use ashglade::time::Instant;
+use ashglade_discovery::{Entry, List, Standing};
 use ashglade_judge::What;
-use ashglade_roster::{Entry, List, Standing};
 use ashglade_settings::{Names, write_boxes};
 use ashglade_standin::Log;
 
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -183,7 +183,7 @@
 fn door_cost(waiting: u64) -> f64 {
     use ashglade::ids::{Group, Sess};
     use ashglade::time::{Instant as At, Span};
-    use ashglade_door::{Came, Door, Request, Terms, Verdict};
+    use ashglade_admission::{Came, Door, Request, Terms, Verdict};
     const REQUESTS: u64 = 200_000;
     let terms = Terms {
         seed: 1,
@@ -224,7 +224,7 @@
 pub struct Set {
     pub directors: Directors,
     pub fleet: Arc<Fleet>,
-    lists: (Vec<std::path::PathBuf>, Vec<ashglade_roster::Entry>, ashglade_settings::Names),
+    lists: (Vec<std::path::PathBuf>, Vec<ashglade_discovery::Entry>, ashglade_settings::Names),
     log: ashglade_standin::Log,
 }
 
@@ -258,7 +258,11 @@
         .nodes
         .iter()
         .zip(entries)
-        .map(|(node, entry)| ashglade_roster::Entry { address: node.address, http: Some(node.http), ..entry })
+        .map(|(node, entry)| ashglade_discovery::Entry {
+            address: node.address,
+            http: Some(node.http),
+            ..entry
+        })
         .collect();
     let folders: Vec<_> = directors.all.iter().map(|(.., f)| f.clone()).collect();
     let of = folders.iter().map(|folder| (folder.clone(), entries.clone())).collect();
@@ -307,9 +311,9 @@
 
     // The same director's settings, with a node that sends as fast as it is read.
     let hose = firehose().await?;
-    entries.iter_mut().for_each(|e| e.standing = ashglade_roster::Standing::Gone);
+    entries.iter_mut().for_each(|e| e.standing = ashglade_discovery::Standing::Gone);
     if let Some(entry) = entries.first_mut() {
-        (entry.address, entry.standing) = (hose, ashglade_roster::Standing::Ready);
+        (entry.address, entry.standing) = (hose, ashglade_discovery::Standing::Ready);
     }
     let of = folders.into_iter().map(|folder| (folder, entries.clone())).collect();
     Lists::new(names.clone(), log, of).write_all().map_err(|e| e.to_string())?;
--- a/crates/lab/src/net/mod.rs
+++ b/crates/lab/src/net/mod.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use ashglade_judge::What;
+use ashglade_peer_transport::codec::Codec;
 use ashglade_standin::Log;
-use ashglade_talk::codec::Codec;
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::watch;
 use tokio::time::Instant;
--- a/crates/lab/src/net/said.rs
+++ b/crates/lab/src/net/said.rs
@@ -1,9 +1,9 @@
 //! What passes, told apart.
 
 use ashglade_judge::What;
+use ashglade_peer_transport::codec::Datagram;
 use ashglade_shared::rights::{Message as Rights, Right};
 use ashglade_shared::{Body, spread};
-use ashglade_talk::codec::Datagram;
 
 use crate::day::schema::Said;
 
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -7,8 +7,8 @@
 
 use ashglade::ids::{Cell, Model, Zone};
 use ashglade::interface::Place;
+use ashglade_discovery::{Entry, Standing};
 use ashglade_judge::{self as judge, Plan, Traffic, Verdict, What};
-use ashglade_roster::{Entry, Standing};
 use ashglade_settings::Settings;
 use ashglade_standin::node::ColdPace;
 use ashglade_standin::viewer::{self, Media, Script};
@@ -387,21 +387,21 @@
 
 /// What directors share, for the judge.
 fn shared(settings: &Settings) -> Option<judge::Shared> {
-    let terms = ashglade_talk::terms(settings)?;
+    let terms = ashglade_peer_transport::terms(settings)?;
     let council = |home| terms.council(home).into_iter().map(|director| director as u16).collect();
     let repeats = settings.talk.as_ref()?.share.as_ref()?.repeats;
     Some(judge::Shared {
         lease: terms.lease.as_ms(),
         drift: terms.drift,
         rest: terms.rest.as_ms(),
-        under_way: ashglade_talk::under_way(settings).as_ms(),
+        under_way: ashglade_peer_transport::under_way(settings).as_ms(),
         stalled: 0.0,
         councils: (0..terms.directors()).map(council).collect(),
         repeats: repeats.map(|repeats| judge::Repeats {
             at_node: repeats.at_node,
             kept: repeats.kept,
             span: repeats.span.as_ms(),
-            pool: ashglade_talk::REPEATS as u8,
+            pool: ashglade_peer_transport::REPEATS as u8,
         }),
     })
 }
--- a/crates/lab/src/trouble.rs
+++ b/crates/lab/src/trouble.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashglade_roster::Standing;
+use ashglade_discovery::Standing;
 use ashglade_standin::Faults;
 use tokio::time::Instant;
 
--- a/crates/settings/src/boxes.rs
+++ b/crates/settings/src/boxes.rs
@@ -3,8 +3,8 @@
 use ashglade::ids::{Cell, Model, Zone};
 use ashglade::interface::Place;
 use ashglade::time::Instant;
-use ashglade_roster::watch::checksum;
-use ashglade_roster::{Entry, List, Standing};
+use ashglade_discovery::watch::checksum;
+use ashglade_discovery::{Entry, List, Standing};
 
 use crate::headend::named;
 use crate::schema::boxes as schema;
