--- a/crates/platform/src/ask.rs
+++ b/crates/platform/src/ask.rs
@@ -1,35 +1,43 @@
-//! A viewer's set-up, read into what the engine is asked. Every field is checked against the settings: what can't be
-//! meant is told to its sender and reaches no node.
+//! A viewer's SETUP request, parsed into the engine's terms. Every field is checked against the settings: an
+//! invalid request is refused and reaches no node.
 
 use ashglade::ids::{Cell, Group, Rung, Title};
 use ashglade::time::Span;
 use ashglade_engine::Want;
 use ashglade_site::{Site, place};
 
-use crate::message::{Message, figure};
+use crate::message::{Message, parse_finite};
 
+/// A valid SETUP request, or a handover of a playing session.
 #[derive(Debug, PartialEq)]
-pub struct Ask {
+pub struct SetupRequest {
+    /// The request in the engine's terms.
     pub want: Want,
+    /// Name of the service group, forwarded to the node.
     pub class: String,
+    /// Title in hex digits, forwarded to the node.
     pub key: String,
+    /// Session description, forwarded to the node.
     pub description: String,
-    /// The node where it plays already, by name.
-    pub plays_at: Option<String>,
+    /// Name of the node where the session plays already, if it is handed over.
+    pub playing_node: Option<String>,
 }
 
+/// An invalid field of a request.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{field}: {what}")]
-pub struct Trouble {
+#[error("{field}: {reason}")]
+pub struct RequestError {
+    /// Name of the field in the protocol.
     pub field: &'static str,
-    pub what: String,
+    /// What is wrong with it.
+    pub reason: String,
 }
 
-fn wrong(field: &'static str, what: impl Into<String>) -> Trouble {
-    Trouble { field, what: what.into() }
+fn invalid(field: &'static str, reason: impl Into<String>) -> RequestError {
+    RequestError { field, reason: reason.into() }
 }
 
-/// The figures of `extras`, by name.
+/// Values of the field `extras`, a list such as `home:0;copies:3`. Unknown names are ignored.
 #[derive(Default)]
 struct Extras<'a> {
     home: Option<&'a str>,
@@ -40,11 +48,11 @@
 }
 
 impl<'a> Extras<'a> {
-    fn read(text: &'a str) -> Result<Extras<'a>, Trouble> {
+    fn parse(text: &'a str) -> Result<Extras<'a>, RequestError> {
         let mut extras = Extras::default();
         for pair in text.split(';').filter(|pair| !pair.is_empty()) {
             let (name, value) =
-                pair.split_once(':').ok_or_else(|| wrong("extras", format!("{pair:?} has no value")))?;
+                pair.split_once(':').ok_or_else(|| invalid("extras", format!("{pair:?} has no value")))?;
             let field = match name {
                 "home" => &mut extras.home,
                 "copies" => &mut extras.copies,
@@ -54,64 +62,70 @@
                 _ => continue,
             };
             if field.replace(value).is_some() {
-                return Err(wrong("extras", format!("{name} twice")));
+                return Err(invalid("extras", format!("duplicate {name}")));
             }
         }
         Ok(extras)
     }
 }
 
-/// A whole number from `least` to `most`.
-fn whole(field: &'static str, text: Option<&str>, least: u16, most: u16) -> Result<u16, Trouble> {
-    let text = text.ok_or_else(|| wrong(field, "is missing"))?;
-    let fits = |figure: &f64| figure.fract() == 0.0 && (f64::from(least)..=f64::from(most)).contains(figure);
-    let figure = figure(text).filter(fits);
-    figure.map(|f| f as u16).ok_or_else(|| wrong(field, format!("{text:?} is not from {least} to {most}")))
+/// Parses an integer from `min` to `max`.
+fn parse_integer(field: &'static str, text: Option<&str>, min: u16, max: u16) -> Result<u16, RequestError> {
+    let text = text.ok_or_else(|| invalid(field, "is missing"))?;
+    let in_range = |number: &f64| number.fract() == 0.0 && (f64::from(min)..=f64::from(max)).contains(number);
+    let number = parse_finite(text).filter(in_range);
+    number
+        .map(|n| n as u16)
+        .ok_or_else(|| invalid(field, format!("{text:?} is not an integer from {min} to {max}")))
 }
 
-/// It plays at a node already, by its own word.
+/// Returns whether the message hands over a session that already plays at a node.
 pub fn is_handed_over(message: &Message) -> bool {
-    let extras = message.opts.get("extras").map(Extras::read);
+    let extras = message.opts.get("extras").map(Extras::parse);
     extras.is_some_and(|extras| extras.is_ok_and(|extras| extras.at.is_some()))
 }
 
-pub fn read(message: &Message, site: &Site) -> Result<Ask, Trouble> {
+/// Parses a SETUP request and checks it against the settings.
+pub fn parse(message: &Message, site: &Site) -> Result<SetupRequest, RequestError> {
     let opts = &message.opts;
-    let class = opts.get("class").ok_or_else(|| wrong("class", "is missing"))?;
+    let class = opts.get("class").ok_or_else(|| invalid("class", "is missing"))?;
     let group =
-        place(&site.names.groups, class).ok_or_else(|| wrong("class", format!("{class:?} is unknown")))?;
+        place(&site.names.groups, class).ok_or_else(|| invalid("class", format!("{class:?} is unknown")))?;
     let tenant = match opts.get("tenant") {
-        Some(name) if !site.names.tenants.is_empty() => {
-            place(&site.names.tenants, name).ok_or_else(|| wrong("tenant", format!("{name:?} is unknown")))?
-        }
+        Some(name) if !site.names.tenants.is_empty() => place(&site.names.tenants, name)
+            .ok_or_else(|| invalid("tenant", format!("{name:?} is unknown")))?,
         _ => 0,
     };
-    let extras = Extras::read(opts.get("extras").unwrap_or_default())?;
-    let key = opts.get("key").ok_or_else(|| wrong("key", "is missing"))?;
-    let hex =
+    let extras = Extras::parse(opts.get("extras").unwrap_or_default())?;
+    let key = opts.get("key").ok_or_else(|| invalid("key", "is missing"))?;
+    let is_hex_u64 =
         |text: &str| !text.is_empty() && text.len() <= 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
-    let title = Some(key).filter(|key| hex(key)).and_then(|key| u64::from_str_radix(key, 16).ok());
-    let title = title.ok_or_else(|| wrong("key", format!("{key:?} is not a title")))?;
+    let title = Some(key).filter(|key| is_hex_u64(key)).and_then(|key| u64::from_str_radix(key, 16).ok());
+    let title =
+        title.ok_or_else(|| invalid("key", format!("{key:?} is not a number of up to 16 hex digits")))?;
     let setup_timeout = match opts.get("left") {
-        // A session that plays waits for nothing.
+        // A session that plays already needs no answer.
         _ if extras.at.is_some() => Span::ZERO,
-        None => return Err(wrong("left", "is missing")),
+        None => return Err(invalid("left", "is missing")),
         Some(text) => {
-            // No viewer waits longer than its service group's setup timeout.
-            let most = site.setup_timeouts.get(group).copied().flatten().map_or(f64::INFINITY, Span::as_ms);
-            let left = figure(text).filter(|&ms| ms > 0.0 && ms <= most.min(1e9) + 1.0);
-            Span::from_ms(left.ok_or_else(|| wrong("left", format!("{text:?} is not up to {most} ms")))?)
+            // No viewer waits longer than the setup timeout of its service group.
+            let max_ms = site.setup_timeouts.get(group).copied().flatten().map_or(f64::INFINITY, Span::as_ms);
+            let left_ms = parse_finite(text).filter(|&ms| ms > 0.0 && ms <= max_ms.min(1e9) + 1.0);
+            Span::from_ms(
+                left_ms
+                    .ok_or_else(|| invalid("left", format!("{text:?} is not a time of up to {max_ms} ms")))?,
+            )
         }
     };
     let cells = site.headend.cells;
-    let description = message.description.clone().ok_or_else(|| wrong("blob", "is missing"))?;
-    Ok(Ask {
+    let description = message.description.clone().ok_or_else(|| invalid("blob", "is missing"))?;
+    Ok(SetupRequest {
         want: Want {
             group: Group(group),
             title: Title(title),
-            top: Rung(whole("top", extras.top, 0, u16::from(u8::MAX))? as u8),
-            home: Cell(whole("home", extras.home, 0, cells.saturating_sub(1))?),
-            copies: whole("copies", extras.copies, 1, cells)?,
+            top: Rung(parse_integer("top", extras.top, 0, u16::from(u8::MAX))? as u8),
+            home: Cell(parse_integer("home", extras.home, 0, cells.saturating_sub(1))?),
+            copies: parse_integer("copies", extras.copies, 1, cells)?,
             setup_timeout,
             tenant,
             client: extras.viewer.and_then(|v| u64::from_str_radix(v, 16).ok()).unwrap_or(0),
@@ -119,6 +133,6 @@
         class: class.to_string(),
         key: key.to_string(),
         description,
-        plays_at: extras.at.map(str::to_string),
+        playing_node: extras.at.map(str::to_string),
     })
 }
--- a/crates/platform/src/bus.rs
+++ b/crates/platform/src/bus.rs
@@ -1,4 +1,4 @@
-//! Numbered events of the event bus, read into what the engine is told of nodes.
+//! Numbered events of the event bus, parsed into discovery updates for the engine.
 
 use std::hash::Hasher;
 use std::net::SocketAddr;
@@ -10,49 +10,55 @@
 use serde::{Deserialize, Deserializer};
 use tracing::warn;
 
-/// A media node's id: from its name, so that it is the same at every director and after restarts, while one that
-/// takes the address of another is another node.
-pub fn id_of(name: &str) -> Node {
+/// Returns the id of a media node: a hash of its name. It is the same at every director and after restarts,
+/// and a node that takes over the address of another has an id of its own.
+pub fn node_id(name: &str) -> Node {
     let mut hasher = siphasher::sip::SipHasher13::new();
     hasher.write(name.as_bytes());
     Node(hasher.finish())
 }
 
-/// What a read of the bus returns, and what the configuration keeps of it.
+/// Reply to a read of the event bus. The configuration holds one too, with the nodes known at start.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Batch {
+    /// Events in the order of their offsets.
     #[serde(default)]
-    pub batch: Vec<Numbered>,
+    pub batch: Vec<BusEvent>,
 }
 
+/// One event of the bus.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Numbered {
+pub struct BusEvent {
+    /// Number of the event; consecutive events have consecutive numbers.
     pub offset: u64,
-    /// Absent where the event tells of something else.
+    /// Absent in events about something other than media nodes.
     #[serde(default)]
     topology: Option<Topology>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
 struct Topology {
+    /// The event lists all nodes, not only those that changed.
     #[serde(default)]
     snapshot: bool,
-    #[serde(default, deserialize_with = "readable")]
+    #[serde(default, deserialize_with = "valid_endpoints")]
     endpoints: Vec<Endpoint>,
 }
 
-/// Those that can be read. One that can't is told with its place and field, and keeps nobody from hearing of the others.
-fn readable<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<Endpoint>, D::Error> {
-    let all = Vec::<serde_json::Value>::deserialize(deserializer)?;
-    let read = |(at, value): (usize, serde_json::Value)| {
+/// Deserializes the valid elements of a list. An invalid one is logged with its index and field and skipped,
+/// so that the other nodes are still learned.
+fn valid_endpoints<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<Endpoint>, D::Error> {
+    let values = Vec::<serde_json::Value>::deserialize(deserializer)?;
+    let parse = |(at, value): (usize, serde_json::Value)| {
         let name = value.get("name").map(ToString::to_string);
         serde_path_to_error::deserialize::<_, Endpoint>(value)
-            .inspect_err(|error| warn!(at, name, field = %error.path(), error = %error.inner(), "left out of the list"))
+            .inspect_err(|error| warn!(at, name, field = %error.path(), error = %error.inner(), "skipped an invalid endpoint of the node list"))
             .ok()
     };
-    Ok(all.into_iter().enumerate().filter_map(read).collect())
+    Ok(values.into_iter().enumerate().filter_map(parse).collect())
 }
 
+/// A media node in an event.
 #[derive(Clone, Debug, Deserialize)]
 struct Endpoint {
     name: String,
@@ -67,6 +73,7 @@
     status: Status,
     #[serde(default)]
     weight: f64,
+    /// When the node's process started, in milliseconds; 0 if not reported.
     #[serde(default)]
     since_ms: f64,
 }
@@ -79,46 +86,56 @@
     Removed,
 }
 
-/// One media node, as an event tells of it.
+/// What an event reports of one media node.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct EndpointUpdate {
+    /// Name of the node.
     pub name: String,
+    /// Id derived from the name.
     pub node: Node,
+    /// Address on which the node accepts connections, if reported.
     pub address: Option<SocketAddr>,
+    /// Location, model, weight and start time.
     pub place: Place,
+    /// The node is up and has an address: it accepts new sessions.
     pub ready: bool,
+    /// The node has been removed from the fleet.
     pub removed: bool,
 }
 
-/// One event; a whole one names all nodes that there are.
+/// What one event reports of the media nodes.
 #[derive(Clone, Debug)]
-pub struct News {
-    pub whole: bool,
-    pub entries: Vec<Entry>,
+pub struct DiscoveryUpdate {
+    /// The update lists all nodes; nodes that it does not name are gone.
+    pub snapshot: bool,
+    /// Nodes that changed, or all of them.
+    pub nodes: Vec<EndpointUpdate>,
 }
 
 impl Batch {
-    /// The events that follow on the one held. Where some are missing, nothing after them is taken but a whole list.
-    pub fn after(self, mut held: u64) -> Vec<Numbered> {
-        let mut follow = Vec::new();
+    /// Returns the events that follow the one numbered `last_offset`. After a gap only a snapshot is taken,
+    /// and what follows it.
+    pub fn after(self, mut last_offset: u64) -> Vec<BusEvent> {
+        let mut following = Vec::new();
         for event in self.batch {
-            let whole = event.topology.as_ref().is_some_and(|topology| topology.snapshot);
-            if event.offset == held + 1 || (whole && event.offset > held) {
-                held = event.offset;
-                follow.push(event);
+            let snapshot = event.topology.as_ref().is_some_and(|topology| topology.snapshot);
+            if event.offset == last_offset + 1 || (snapshot && event.offset > last_offset) {
+                last_offset = event.offset;
+                following.push(event);
             }
         }
-        follow
+        following
     }
 }
 
-impl Numbered {
-    pub fn news(self, names: &Names) -> News {
+impl BusEvent {
+    /// Converts the event. Names of zones and models become their positions in the settings' lists, `names`.
+    pub fn news(self, names: &Names) -> DiscoveryUpdate {
         let topology = self.topology.unwrap_or(Topology { snapshot: false, endpoints: Vec::new() });
-        // A zone or a kind that the settings don't name is none of those that they do.
-        let id = |names: &[String], name: &str| place(names, name).map_or(u8::MAX, |at| at as u8);
-        let entry = |e: Endpoint| Entry {
-            node: id_of(&e.name),
+        // A zone or model that the settings don't name gets an id that differs from all of theirs.
+        let id = |names: &[String], name: &str| place(names, name).map_or(u8::MAX, |index| index as u8);
+        let endpoint_update = |e: Endpoint| EndpointUpdate {
+            node: node_id(&e.name),
             address: e.address,
             place: Place {
                 zone: Zone(id(&names.zones, &e.zone)),
@@ -131,6 +148,9 @@
             removed: e.status == Status::Removed,
             name: e.name,
         };
-        News { whole: topology.snapshot, entries: topology.endpoints.into_iter().map(entry).collect() }
+        DiscoveryUpdate {
+            snapshot: topology.snapshot,
+            nodes: topology.endpoints.into_iter().map(endpoint_update).collect(),
+        }
     }
 }
--- a/crates/platform/src/causes.rs
+++ b/crates/platform/src/causes.rs
@@ -1,20 +1,23 @@
-//! Causes of releases, both ways, in one table each. What a SETUP's ending proves is read here and nowhere else.
+//! Cause numbers of release messages: one mapping for each direction and situation. Which [`AttemptOutcome`]
+//! a node's cause stands for is decided here and nowhere else.
 
 use ashglade::interface::Ending;
 
 use ashglade_engine::{Answer, Why};
 
-/// The set-up is given up, or the session ended as it should.
-pub const CLEARED: u16 = 16;
-const NO_ROOM: u16 = 34;
+/// The SETUP was cancelled, or the session ended normally.
+pub const NORMAL_RELEASE: u16 = 16;
+/// The fleet has no room for the session.
+const NO_CAPACITY: u16 = 34;
+/// The request can't be served at present.
 pub const CONGESTED: u16 = 42;
-/// Torn down; from a node after the answer, the session was cut.
-pub const CUT: u16 = 41;
-/// A request that can't be used.
-pub const UNUSABLE: u16 = 100;
+/// The request was torn down; sent by a node after its answer: the session was interrupted.
+pub const INTERRUPTED: u16 = 41;
+/// The request is invalid.
+pub const INVALID_REQUEST: u16 = 100;
 
-/// A release in place of an answer.
-pub fn of_setup(cause: u16) -> Ending {
+/// Outcome of a SETUP that a node answered with a release of this cause.
+pub fn setup_outcome(cause: u16) -> Ending {
     match cause {
         34 => Ending::Full,
         102 => Ending::Unsent,
@@ -23,8 +26,9 @@
     }
 }
 
-/// A release of a session that stood, and whether its viewer is owed one.
-pub fn of_session(cause: u16) -> (Ending, bool) {
+/// Outcome of a playing session that its node released with this cause, and whether the viewer must be sent a
+/// release.
+pub fn session_outcome(cause: u16) -> (Ending, bool) {
     match cause {
         16 => (Ending::Played, true),
         31 => (Ending::Cancelled, false),
@@ -32,17 +36,17 @@
     }
 }
 
-/// What the viewer is told in place of an answer.
-pub fn of_answer(answer: &Answer) -> u16 {
+/// Cause of the release that the viewer gets in reply to its SETUP.
+pub fn answer_cause(answer: &Answer) -> u16 {
     match answer {
-        Answer::Plays { .. } => CLEARED,
-        Answer::Busy { why: Why::NoRoom, .. } => NO_ROOM,
+        Answer::Plays { .. } => NORMAL_RELEASE,
+        Answer::Busy { why: Why::NoRoom, .. } => NO_CAPACITY,
         Answer::Busy { .. } => CONGESTED,
-        Answer::TornDown => CUT,
+        Answer::TornDown => INTERRUPTED,
     }
 }
 
-/// What the viewer is told when its session is over.
-pub fn of_over(how: Ending) -> u16 {
-    if how == Ending::Played { CLEARED } else { CUT }
+/// Cause of the release that the viewer gets when its playing session has ended.
+pub fn release_cause(outcome: Ending) -> u16 {
+    if outcome == Ending::Played { NORMAL_RELEASE } else { INTERRUPTED }
 }
--- /dev/null
+++ b/crates/platform/src/gateway.rs
@@ -0,0 +1,836 @@
+//! The gateway: a state machine without I/O between viewers' connections (downstream), the engine, and media
+//! nodes' connections (upstream). Messages and discovery updates become the engine's inputs; the engine's
+//! effects become lines on connections. It makes no placement decisions. It is responsible for transport:
+//!
+//! - which session a tag names, which connection its answer goes to, and that there is exactly one answer;
+//! - that a SETUP is cancelled at its node before the next SETUP of the session is sent;
+//! - that the viewer of a session that has played and ended gets a release, also where the node can't report
+//!   the end (see `upstream`);
+//! - that connections, SETUP requests and sessions of one party don't grow without bound.
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::fmt;
+use std::net::{IpAddr, SocketAddr};
+
+use ashglade::ids::{Node, Rung, Sess, SetupNo};
+use ashglade::interface::Ending;
+use ashglade::time::{Instant, Span};
+use ashglade_engine::{Answer, Effect, Engine, Input, Start, Tally};
+use ashglade_site::Site;
+use bytes::Bytes;
+use tracing::{debug, trace, warn};
+
+use crate::ask::{self, SetupRequest};
+use crate::bus::{DiscoveryUpdate, node_id};
+use crate::causes;
+use crate::config::Config;
+use crate::message::{self, Message, Tag, Verb};
+use crate::resource_limits::ResourceLimits;
+use crate::upstream::{NodeState, UpstreamConnection};
+
+/// Identifies a viewer's connection. Assigned by the caller.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Link(pub u64);
+
+/// Identifies a connection to a media node. Assigned by the gateway.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Trunk(pub u64);
+
+/// Why a connection to a node ended.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub enum CloseReason {
+    /// The node refused the connection: no process listens there.
+    Refused,
+    /// The connection was not established, for any reason but a refusal: a timeout, a reset, an unreachable
+    /// host.
+    NeverUp,
+    /// The established connection was closed or reset.
+    Lost,
+    /// A line could not be parsed, so nothing that is open on the connection can be trusted any longer.
+    Spoilt,
+    /// This side gave the connection up: its node may be stalled or has restarted, it takes no more lines, or
+    /// it is unused and its descriptor is needed.
+    Silent,
+    /// This process had no descriptor, port or memory for the connection. Says nothing about the node.
+    Wanting,
+}
+
+/// Prints the label that logs use for the reason.
+impl fmt::Debug for CloseReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            CloseReason::Refused => "Refused",
+            CloseReason::NeverUp => "NeverUp",
+            CloseReason::Lost => "Lost",
+            CloseReason::Spoilt => "Spoilt",
+            CloseReason::Silent => "Silent",
+            CloseReason::Wanting => "Wanting",
+        })
+    }
+}
+
+/// Input to [`Board::turn`].
+#[derive(Debug)]
+pub enum Event {
+    /// A viewer connected from this address.
+    Opened(Link, IpAddr),
+    /// A viewer sent a message.
+    Said(Link, Message),
+    /// A viewer's connection ended; the lines were not written, so the viewer can't have read them.
+    Closed(Link, Vec<Bytes>),
+    /// A line could not be queued, because the connection's queue is full or the connection has ended.
+    Unread(Link, Bytes),
+    /// A connection to a node was established.
+    Up(Trunk),
+    /// A node sent a message.
+    Heard(Trunk, Message),
+    /// A connection to a node ended or was not established; the lines were not written. Reported exactly once
+    /// for each [`Action::Dial`].
+    Down(Trunk, CloseReason, Vec<Bytes>),
+    /// A line could not be queued, because the connection's queue is full or the connection has ended.
+    Untaken(Trunk, Bytes),
+    /// New events of the event bus.
+    Bus(Vec<DiscoveryUpdate>),
+    /// A planned shutdown is near: health checks fail from here on, while new requests are still served.
+    Stopping,
+}
+
+/// Output of [`Board::turn`].
+#[derive(Clone, Debug, PartialEq)]
+pub enum Action {
+    /// Send a line to a viewer.
+    ToViewer(Link, Bytes),
+    /// Send a line to a viewer that has closed the connection, in case it closed only its sending half and
+    /// still reads.
+    LastToViewer(Link, Bytes),
+    /// Close a viewer's connection.
+    CloseViewer(Link),
+    /// Close a viewer's connection unless something has been received on it meanwhile. It counts as open
+    /// until its close is reported.
+    CloseIfQuiet(Link),
+    /// Connect to a node.
+    Dial(Trunk, SocketAddr),
+    /// Send a line to a node.
+    ToNode(Trunk, Bytes),
+    /// Close a connection to a node.
+    HangUp(Trunk),
+}
+
+/// Time between the first health check that passes, or the first request, and the engine's first round.
+/// Viewers hand over playing sessions as soon as that check has passed; the engine is to know of them
+/// together with its first node list.
+const ENGINE_START_DELAY_SECONDS: f64 = 0.1;
+/// Interval of the checks of connections and nodes.
+const CHECK_INTERVAL_SECONDS: f64 = 0.25;
+/// Time after which a viewer's connection that has sent nothing useful is closed. The protocol allows 3 s.
+const USELESS_TIMEOUT_SECONDS: f64 = 2.2;
+/// Time after which a viewer's connection without sessions is closed. Viewers close such connections
+/// themselves after 4 s.
+const IDLE_TIMEOUT_SECONDS: f64 = 5.0;
+/// Part of the setup timeout that is reserved for the transmission of the answer, in milliseconds.
+const ANSWER_MARGIN_MS: f64 = 20.0;
+/// Maximum number of queued SETUP requests handled in one call, so that closes and cancellations are
+/// processed between the requests of a flood.
+const MAX_SETUPS_PER_TURN: usize = 32;
+/// Time that a release notice is kept for a client without a connection.
+const RELEASE_NOTICE_TTL_SECONDS: f64 = 8.0;
+/// Descriptors that the process needs for itself: standard streams, the runtime, the listener, and the event
+/// bus at its old and its new address.
+const RESERVED_DESCRIPTORS: usize = 14;
+/// Time after the start of a drain during which requests still arrive.
+const DRAIN_GRACE_SECONDS: f64 = 1.5;
+
+/// An outstanding SETUP of a session at one node.
+pub(crate) struct Attempt {
+    pub setup: SetupNo,
+    pub node: Node,
+    pub rung: Rung,
+    pub deadline: Instant,
+    /// The connection on which the SETUP was sent, and when; `None` while it waits for a connection.
+    pub sent: Option<(Trunk, Instant)>,
+}
+
+/// A session from its request to its end.
+pub(crate) struct SessionState {
+    pub tag: Tag,
+    /// The connection on which the session was requested.
+    pub downstream: Link,
+    pub client: IpAddr,
+    /// Contents of the session's SETUPs; `None` once it plays.
+    pub request: Option<Box<SetupRequest>>,
+    pub attempt: Option<Attempt>,
+    /// At least one SETUP has been sent, so the session may have started at a node.
+    pub setup_sent: bool,
+    /// The node where the session plays, and since when.
+    pub playing_at: Option<(Node, Instant)>,
+    /// Session description of the node's answer, until it is forwarded.
+    pub description: Option<String>,
+    /// The answer has been sent, or no one waits for one.
+    pub answered: bool,
+}
+
+struct DownstreamConnection {
+    client: IpAddr,
+    opened_at: Instant,
+    idle_since: Instant,
+    /// A valid request has been received.
+    useful: bool,
+    /// Number of SETUP requests that are still queued.
+    queued_setups: usize,
+    /// Sessions that have no answer yet.
+    pending: BTreeSet<Sess>,
+    /// Number of playing sessions that were requested here.
+    playing: usize,
+    /// A close has been requested, which an incoming message cancels.
+    closing: bool,
+}
+
+impl DownstreamConnection {
+    /// Returns whether the connection carries no request and no playing session.
+    fn is_unused(&self) -> bool {
+        self.queued_setups == 0 && self.pending.is_empty() && self.playing == 0
+    }
+}
+
+/// A SETUP request that has not been passed to the engine yet.
+struct QueuedSetup {
+    received_at: Instant,
+    downstream: Link,
+    tag: Tag,
+    message: Message,
+}
+
+/// A release that a client must get.
+struct ReleaseNotice {
+    created_at: Instant,
+    client: IpAddr,
+    /// The connection on which it was sent; `None` while the client has no connection.
+    downstream: Option<Link>,
+    line: Bytes,
+}
+
+/// Connects viewers' connections, the engine and nodes' connections. See the [module documentation](self).
+pub struct Board {
+    pub(crate) site: Site,
+    engine_config: Start,
+    pub(crate) limits: ResourceLimits,
+    engine: Option<Engine>,
+    /// When the engine starts, once that is known.
+    engine_start_at: Option<Instant>,
+    pub(crate) inputs: Vec<Input>,
+    pub(crate) actions: Vec<Action>,
+    pub(crate) sessions: BTreeMap<Sess, SessionState>,
+    pub(crate) session_by_tag: BTreeMap<Tag, Sess>,
+    next_session: u64,
+    setup_queue: VecDeque<QueuedSetup>,
+    downstreams: BTreeMap<Link, DownstreamConnection>,
+    /// Descriptors available to connections of viewers and of nodes.
+    descriptor_limits: [usize; 2],
+    release_notices: VecDeque<ReleaseNotice>,
+    pub(crate) nodes: BTreeMap<Node, NodeState>,
+    pub(crate) upstreams: BTreeMap<Trunk, UpstreamConnection>,
+    pub(crate) next_upstream: u64,
+    pub(crate) next_health_check: u64,
+    /// Connections to nodes that this side closed, until their end is reported.
+    pub(crate) closing_upstreams: BTreeMap<Trunk, Node>,
+    /// Sent SETUPs that were cancelled and that the node may still start, oldest first.
+    pub(crate) cancelled_setups: VecDeque<(Node, Tag)>,
+    next_check_at: Instant,
+    drain_started_at: Option<Instant>,
+}
+
+impl Board {
+    /// Creates a gateway without connections. The engine starts after the first passed health check or
+    /// request.
+    pub fn new(config: &Config, now: Instant) -> Board {
+        let site = config.site.clone();
+        let limits = ResourceLimits::of(config.limits.memory_mb);
+        let descriptors = config.limits.sockets.saturating_sub(RESERVED_DESCRIPTORS).max(2);
+        let engine_config = Start {
+            headend: site.headend.clone(),
+            answer_margin: Span::from_ms(ANSWER_MARGIN_MS),
+            probe_timeout: site.dial_timeout,
+            most_sessions: limits.sessions,
+            door: None,
+        };
+        Board {
+            engine_config,
+            limits,
+            engine: None,
+            engine_start_at: None,
+            inputs: Vec::new(),
+            actions: Vec::new(),
+            sessions: BTreeMap::new(),
+            session_by_tag: BTreeMap::new(),
+            next_session: 0,
+            setup_queue: VecDeque::new(),
+            downstreams: BTreeMap::new(),
+            descriptor_limits: [descriptors.div_ceil(2), descriptors / 2],
+            release_notices: VecDeque::new(),
+            nodes: BTreeMap::new(),
+            upstreams: BTreeMap::new(),
+            next_upstream: 0,
+            next_health_check: site.headend.seed,
+            closing_upstreams: BTreeMap::new(),
+            cancelled_setups: VecDeque::new(),
+            next_check_at: now,
+            drain_started_at: None,
+            site,
+        }
+    }
+
+    /// Returns the engine's counters, once it has started.
+    pub fn tally(&self) -> Option<&Tally> {
+        self.engine.as_ref().map(Engine::tally)
+    }
+
+    /// Returns the maximum number of lines that may be queued on one connection.
+    pub fn queue(&self) -> usize {
+        self.limits.queued_lines
+    }
+
+    /// Returns the maximum numbers of descriptors for connections of viewers and of nodes, including
+    /// connections that are being closed.
+    pub fn descriptors(&self) -> [usize; 2] {
+        self.descriptor_limits
+    }
+
+    /// Returns whether a drain has finished: no more requests arrive, no session is left, and no line is owed
+    /// to anyone.
+    pub fn has_ended(&self, now: Instant) -> bool {
+        let grace_over =
+            self.drain_started_at.is_some_and(|at| now - at > Span::from_secs(DRAIN_GRACE_SECONDS));
+        let owed = self.release_notices.iter().any(|notice| notice.downstream.is_none());
+        grace_over
+            && self.sessions.is_empty()
+            && self.setup_queue.is_empty()
+            && !owed
+            && self.no_lines_queued_for_nodes()
+    }
+
+    /// Returns the numbers of sessions, of viewers' connections, of nodes, and of connections to nodes.
+    pub fn sizes(&self) -> [usize; 4] {
+        [self.sessions.len(), self.downstreams.len(), self.nodes.len(), self.upstreams.len()]
+    }
+
+    /// Returns when [`Board::turn`] must be called next, even if no event occurs.
+    pub fn next_due(&self) -> Instant {
+        let engine = self.engine.as_ref().and_then(Engine::next_due);
+        let queued = self.setup_queue.front().map(|setup| setup.received_at);
+        [Some(self.next_check_at), self.engine_start_at, queued, engine]
+            .into_iter()
+            .flatten()
+            .min()
+            .unwrap_or(self.next_check_at)
+    }
+
+    /// Handles events in their order and then everything that is due, and returns what is to be done.
+    pub fn turn(&mut self, now: Instant, events: impl IntoIterator<Item = Event>) -> Vec<Action> {
+        // New upstream connections are handled last: they send what waits for them, and a viewer that leaves
+        // in the same call needs nothing sent.
+        let mut connected = Vec::new();
+        for event in events {
+            match event {
+                Event::Up(upstream) => connected.push(upstream),
+                event => self.handle_event(now, event),
+            }
+        }
+        connected.into_iter().for_each(|upstream| self.upstream_connected(now, upstream));
+        for _ in 0..MAX_SETUPS_PER_TURN {
+            let Some(setup) = self.setup_queue.pop_front() else { break };
+            self.handle_setup(now, setup);
+        }
+        if now >= self.next_check_at {
+            self.next_check_at = now + Span::from_secs(CHECK_INTERVAL_SECONDS);
+            self.check_downstreams(now);
+            self.check_nodes(now);
+        }
+        if self.engine_start_at.is_some_and(|at| at <= now) {
+            self.engine_start_at = None;
+            self.engine = Some(Engine::start(self.engine_config.clone(), now));
+        }
+        while let Some(engine) = &mut self.engine {
+            if self.inputs.is_empty() && engine.next_due().is_none_or(|due| due > now) {
+                break;
+            }
+            for effect in engine.round(now, std::mem::take(&mut self.inputs)) {
+                self.apply_effect(now, effect);
+            }
+        }
+        self.actions.iter().for_each(|action| trace!(?action, "action"));
+        std::mem::take(&mut self.actions)
+    }
+
+    fn handle_event(&mut self, now: Instant, event: Event) {
+        match event {
+            Event::Opened(downstream, client) => self.downstream_opened(now, downstream, client),
+            Event::Said(downstream, message) => self.downstream_message(now, downstream, message),
+            Event::Closed(downstream, unwritten) => {
+                self.downstream_closed(downstream);
+                unwritten.into_iter().for_each(|line| self.downstream_undelivered(now, downstream, line));
+            }
+            Event::Unread(downstream, line) => {
+                self.downstream_closed(downstream);
+                self.downstream_undelivered(now, downstream, line);
+            }
+            Event::Up(upstream) => self.upstream_connected(now, upstream),
+            Event::Heard(upstream, message) => self.upstream_message(now, upstream, message),
+            Event::Down(upstream, reason, unwritten) => {
+                let node = self.upstreams.get(&upstream).map(|connection| connection.node);
+                self.closing_upstreams.extend(node.map(|node| (upstream, node)));
+                // Unwritten lines are queued first, as they decide whether another connection is needed.
+                self.upstream_undelivered(now, upstream, unwritten);
+                self.upstream_closed(now, upstream, reason);
+                self.closing_upstreams.remove(&upstream);
+            }
+            Event::Untaken(upstream, line) => {
+                self.abandon_upstream(now, upstream);
+                self.upstream_undelivered(now, upstream, vec![line]);
+            }
+            Event::Bus(updates) => {
+                updates.into_iter().for_each(|update| self.apply_discovery_update(now, update))
+            }
+            Event::Stopping => self.drain_started_at = self.drain_started_at.or(Some(now)),
+        }
+    }
+
+    fn apply_effect(&mut self, now: Instant, effect: Effect) {
+        match effect {
+            Effect::Setup { sess: session, setup, node, rung, until } => {
+                self.start_attempt(now, session, Attempt { setup, node, rung, deadline: until, sent: None });
+            }
+            Effect::Withdraw { sess: session, setup, if_unsent } => {
+                self.cancel_attempt(now, session, setup, if_unsent)
+            }
+            Effect::Answer { sess: session, answer } => self.send_answer(now, session, answer),
+            Effect::Rung { sess: session, rung } => self.change_rung(now, session, rung),
+            Effect::Release { sess: session } => self.release_session(now, session),
+            Effect::SendBack { sess: session } => {
+                let tag = self.sessions.get(&session).map(|state| state.tag);
+                if let Some(line) = tag.and_then(|tag| message::write(Verb::Move, tag, &[], None, None)) {
+                    self.send_to_viewer(session, line);
+                }
+                self.release_session(now, session);
+                self.inputs.push(Input::Over { sess: session, how: Ending::Cancelled });
+            }
+            Effect::Probe { probe, node } => self.start_probe(now, probe, node),
+            Effect::Listed { .. } | Effect::Drained => {}
+        }
+    }
+
+    // Viewers' connections
+
+    fn downstream_opened(&mut self, now: Instant, downstream: Link, client: IpAddr) {
+        // A tenth of the descriptors is left for connections that are being closed, and for new ones while
+        // all others are in use.
+        let max_open = (self.descriptor_limits[0] * 9 / 10).max(1);
+        if self.downstreams.values().filter(|c| !c.closing).count() >= max_open {
+            // The oldest connection that never sent a valid request is closed first, then the oldest that is
+            // unused.
+            let unused = self.downstreams.iter().filter(|(_, c)| c.is_unused() && !c.closing);
+            let evicted = unused.min_by_key(|(_, c)| (c.useful, c.opened_at)).map(|(&id, c)| (id, c.useful));
+            match evicted {
+                None => return self.actions.push(Action::CloseViewer(downstream)),
+                Some((evicted, true)) => self.close_downstream_if_idle(evicted),
+                Some((evicted, false)) => self.close_downstream(evicted),
+            }
+        }
+        let connection = DownstreamConnection {
+            client,
+            opened_at: now,
+            idle_since: now,
+            useful: false,
+            queued_setups: 0,
+            pending: BTreeSet::new(),
+            playing: 0,
+            closing: false,
+        };
+        self.downstreams.insert(downstream, connection);
+        self.release_notices.iter_mut().filter(|n| n.downstream.is_none() && n.client == client).for_each(
+            |notice| {
+                notice.downstream = Some(downstream);
+                self.actions.push(Action::ToViewer(downstream, notice.line.clone()));
+            },
+        );
+    }
+
+    /// Closes a connection unless a request is already on its way. The viewer has to repeat a request only if
+    /// it is sent in the very moment of the close.
+    fn close_downstream_if_idle(&mut self, downstream: Link) {
+        if let Some(connection) = self.downstreams.get_mut(&downstream) {
+            connection.closing = true;
+        }
+        self.actions.push(Action::CloseIfQuiet(downstream));
+    }
+
+    fn close_downstream(&mut self, downstream: Link) {
+        self.actions.push(Action::CloseViewer(downstream));
+        self.downstream_closed(downstream);
+    }
+
+    /// Cancels the unanswered requests of a closed connection, and sends their releases in case the viewer
+    /// closed only its sending half. Playing sessions continue.
+    fn downstream_closed(&mut self, downstream: Link) {
+        let Some(connection) = self.downstreams.remove(&downstream) else { return };
+        let mut cancelled = Vec::new();
+        if connection.queued_setups > 0 {
+            cancelled.extend(
+                self.setup_queue
+                    .iter()
+                    .filter(|s| s.downstream == downstream)
+                    .map(|s| (s.tag, causes::CONGESTED)),
+            );
+            self.setup_queue.retain(|setup| setup.downstream != downstream);
+        }
+        for session in connection.pending {
+            let release = |state: &SessionState| {
+                (state.tag, if state.setup_sent { causes::INTERRUPTED } else { causes::CONGESTED })
+            };
+            cancelled.extend(self.sessions.get(&session).map(release));
+            self.viewer_left(session);
+        }
+        for (tag, cause) in cancelled {
+            let line = message::write(Verb::Finish, tag, &[], Some(cause), None);
+            self.actions.extend(line.map(|line| Action::LastToViewer(downstream, line)));
+        }
+    }
+
+    /// Handles a line that its viewer has not read. If it is an answer, the viewer does not know the session,
+    /// which must not be left playing at its node. If it is a release, it is sent again on another
+    /// connection.
+    fn downstream_undelivered(&mut self, now: Instant, downstream: Link, line: Bytes) {
+        let message = Message::read(&line).ok();
+        if let Some(session) = message
+            .filter(|message| message.verb == Verb::Started)
+            .and_then(|message| self.session_by_tag.get(&message.tag?).copied())
+            .filter(|session| self.sessions.get(session).is_some_and(|state| state.downstream == downstream))
+        {
+            debug!(
+                link = downstream.0,
+                "viewer disconnected before its answer was written; releasing the session"
+            );
+            return self.viewer_left(session);
+        }
+        let is_sent_here =
+            |notice: &ReleaseNotice| notice.downstream == Some(downstream) && notice.line == line;
+        if let Some(index) = self.release_notices.iter().position(is_sent_here)
+            && let Some(notice) = self.release_notices.remove(index)
+        {
+            self.send_release_notice(now, notice.client, None, notice.line);
+        }
+    }
+
+    fn downstream_message(&mut self, now: Instant, downstream: Link, message: Message) {
+        let Some(connection) = self.downstreams.get_mut(&downstream) else { return };
+        connection.closing = false;
+        trace!(link = downstream.0, ?message, "received from a viewer");
+        match (message.verb, message.tag) {
+            (Verb::Start, Some(tag)) => self.queue_setup(now, downstream, tag, message),
+            (Verb::Finish, Some(tag)) => {
+                self.cancel_queued_setup(tag);
+                if let Some(&session) = self.session_by_tag.get(&tag) {
+                    self.mark_useful(now, downstream);
+                    self.viewer_left(session);
+                }
+            }
+            (Verb::Echo, tag) => {
+                let passed = u16::from(self.drain_started_at.is_none());
+                if passed == 1 {
+                    self.schedule_engine_start(now);
+                }
+                let line =
+                    message::write(Verb::Echoed, tag.unwrap_or(Tag::from_number(0)), &[], Some(passed), None);
+                self.actions.extend(line.map(|line| Action::ToViewer(downstream, line)));
+            }
+            (Verb::Pending | Verb::Finished, _) => {}
+            _ => {
+                debug!(
+                    link = downstream.0,
+                    verb = ?message.verb,
+                    "viewers don't send messages of this kind; closing the connection"
+                );
+                self.close_downstream(downstream);
+            }
+        }
+    }
+
+    fn schedule_engine_start(&mut self, now: Instant) {
+        if self.engine.is_none() && self.engine_start_at.is_none() {
+            self.engine_start_at = Some(now + Span::from_secs(ENGINE_START_DELAY_SECONDS));
+        }
+    }
+
+    fn mark_useful(&mut self, now: Instant, downstream: Link) {
+        if let Some(connection) = self.downstreams.get_mut(&downstream) {
+            (connection.useful, connection.idle_since) = (true, now);
+        }
+    }
+
+    fn refuse(&mut self, downstream: Link, tag: Tag, cause: u16) {
+        let line = message::write(Verb::Finish, tag, &[], Some(cause), None);
+        self.actions.extend(line.map(|line| Action::ToViewer(downstream, line)));
+    }
+
+    /// Queues a SETUP request behind those of other viewers. While it is queued, its viewer may leave or
+    /// cancel it.
+    fn queue_setup(&mut self, now: Instant, downstream: Link, tag: Tag, message: Message) {
+        let Some(connection) = self.downstreams.get_mut(&downstream) else { return };
+        let setup = QueuedSetup { received_at: now, downstream, tag, message };
+        if ask::is_handed_over(&setup.message) {
+            // No one waits for an answer, and the engine must know of all handovers in its first round.
+            connection.queued_setups += 1;
+            return self.handle_setup(now, setup);
+        }
+        if connection.pending.len() + connection.queued_setups >= self.limits.pending_setups
+            || self.sessions.len() + self.setup_queue.len() >= self.limits.sessions
+        {
+            return self.refuse(downstream, tag, causes::CONGESTED);
+        }
+        connection.queued_setups += 1;
+        self.setup_queue.push_back(setup);
+    }
+
+    /// Removes the queued SETUP requests with this tag, which their viewer has cancelled.
+    fn cancel_queued_setup(&mut self, tag: Tag) {
+        for setup in self.setup_queue.iter().filter(|setup| setup.tag == tag) {
+            if let Some(connection) = self.downstreams.get_mut(&setup.downstream) {
+                connection.queued_setups -= 1;
+            }
+        }
+        self.setup_queue.retain(|setup| setup.tag != tag);
+    }
+
+    fn handle_setup(
+        &mut self,
+        now: Instant,
+        QueuedSetup { received_at, downstream, tag, message }: QueuedSetup,
+    ) {
+        if let Some(connection) = self.downstreams.get_mut(&downstream) {
+            connection.queued_setups -= 1;
+        }
+        let request = match ask::parse(&message, &self.site) {
+            Ok(request) => request,
+            Err(error) => {
+                debug!(%tag, trouble = %error, "refused an invalid SETUP request");
+                return self.refuse(downstream, tag, causes::INVALID_REQUEST);
+            }
+        };
+        self.schedule_engine_start(now);
+        let existing = self.session_by_tag.get(&tag).copied();
+        if let Some(name) = &request.playing_node {
+            if existing.is_none() {
+                self.adopt_session(now, downstream, tag, &request, name);
+            }
+            return;
+        }
+        if let Some(session) = existing {
+            self.refuse(downstream, tag, causes::INVALID_REQUEST);
+            // On one connection, the answers to two requests with one tag can't be told apart: neither is
+            // served.
+            if self.sessions.get(&session).is_some_and(|s| s.downstream == downstream && !s.answered) {
+                self.viewer_left(session);
+            }
+            return;
+        }
+        let mut want = request.want;
+        // The viewer's timeout runs from the arrival of the request, also while the engine's start is
+        // pending.
+        let until_engine_start = self.engine_start_at.map_or(Span::ZERO, |start| start - now);
+        want.setup_timeout = want.setup_timeout - until_engine_start - (now - received_at);
+        if want.setup_timeout <= Span::from_ms(ANSWER_MARGIN_MS) {
+            // Too late for a SETUP; none has been sent.
+            return self.refuse(downstream, tag, causes::CONGESTED);
+        }
+        let Some(session) = self.create_session(now, downstream, tag, Some(Box::new(request)), None) else {
+            return;
+        };
+        self.inputs.push(Input::Asked { sess: session, want });
+    }
+
+    /// Creates a session that awaits its answer, or one that already plays if `playing_at` is given.
+    fn create_session(
+        &mut self,
+        now: Instant,
+        downstream: Link,
+        tag: Tag,
+        request: Option<Box<SetupRequest>>,
+        playing_at: Option<(Node, Instant)>,
+    ) -> Option<Sess> {
+        let connection = self.downstreams.get_mut(&downstream)?;
+        let (session, client, answered) = (Sess(self.next_session), connection.client, playing_at.is_some());
+        self.next_session += 1;
+        if answered {
+            connection.playing += 1;
+        } else {
+            connection.pending.insert(session);
+        }
+        self.mark_useful(now, downstream);
+        let state = SessionState {
+            tag,
+            downstream,
+            client,
+            request,
+            attempt: None,
+            setup_sent: false,
+            playing_at,
+            description: None,
+            answered,
+        };
+        self.sessions.insert(session, state);
+        self.session_by_tag.insert(tag, session);
+        Some(session)
+    }
+
+    /// Takes over a session that already plays at the node `name`.
+    fn adopt_session(
+        &mut self,
+        now: Instant,
+        downstream: Link,
+        tag: Tag,
+        request: &SetupRequest,
+        name: &str,
+    ) {
+        let node = node_id(name);
+        if self.nodes.get(&node).is_some_and(|node_state| node_state.removed) {
+            // The node is gone and will never report the session's end.
+            return self.refuse(downstream, tag, causes::release_cause(Ending::Lost));
+        }
+        if self.sessions.len() >= self.limits.sessions {
+            return self.refuse(downstream, tag, causes::CONGESTED);
+        }
+        self.ensure_node(now, node, name);
+        let Some(session) = self.create_session(now, downstream, tag, None, Some((node, now))) else {
+            return;
+        };
+        self.inputs.push(Input::UnderWay { sess: session, want: request.want, node });
+        self.session_plays(now, session, node);
+    }
+
+    /// Handles the viewer's side of the end of a session: it cancelled the request, ended the session or
+    /// disconnected.
+    fn viewer_left(&mut self, session: Sess) {
+        let Some(state) = self.sessions.get_mut(&session) else { return };
+        state.answered = true;
+        let downstream = state.downstream;
+        if let Some(connection) = self.downstreams.get_mut(&downstream) {
+            connection.pending.remove(&session);
+        }
+        self.inputs.push(Input::Left { sess: session });
+        self.cancel_unsent_attempt(session);
+        self.remove_if_finished(session);
+    }
+
+    fn send_answer(&mut self, now: Instant, session: Sess, answer: Answer) {
+        let Some(state) = self.sessions.get_mut(&session) else { return };
+        state.answered = true;
+        let (tag, downstream) = (state.tag, state.downstream);
+        let plays = matches!(answer, Answer::Plays { .. });
+        let description = state.description.take();
+        let line = match &description {
+            Some(text) if plays => message::write(Verb::Started, tag, &[], None, Some(text)),
+            _ => message::write(Verb::Finish, tag, &[], Some(causes::answer_cause(&answer)), None),
+        };
+        if let Some(connection) = self.downstreams.get_mut(&downstream) {
+            connection.pending.remove(&session);
+            connection.idle_since = now;
+            connection.playing += usize::from(plays);
+        }
+        self.actions.extend(line.map(|line| Action::ToViewer(downstream, line)));
+        self.remove_if_finished(session);
+    }
+
+    /// Sends a line on the connection of the session's request, or on another connection of the same client.
+    pub(crate) fn send_to_viewer(&mut self, session: Sess, line: Bytes) {
+        let Some(state) = self.sessions.get(&session) else { return };
+        let (preferred, client) = (state.downstream, state.client);
+        if let Some(downstream) = self.downstream_of(client, Some(preferred)) {
+            self.actions.push(Action::ToViewer(downstream, line));
+        }
+    }
+
+    /// Returns the preferred connection if it is open, else another one of the client, if possible one that
+    /// is not about to be closed.
+    fn downstream_of(&self, client: IpAddr, preferred: Option<Link>) -> Option<Link> {
+        let preferred = preferred.filter(|downstream| self.downstreams.contains_key(downstream));
+        let others = || self.downstreams.iter().filter(|(_, c)| c.client == client);
+        preferred.or_else(|| others().min_by_key(|(_, c)| c.closing).map(|(&downstream, _)| downstream))
+    }
+
+    /// Sends a release, and keeps it for a while in case it is not written. If the client has no connection,
+    /// the release waits for one.
+    fn send_release_notice(&mut self, now: Instant, client: IpAddr, preferred: Option<Link>, line: Bytes) {
+        let downstream = self.downstream_of(client, preferred);
+        if let Some(id) = downstream {
+            self.actions.push(Action::ToViewer(id, line.clone()));
+        }
+        if self.release_notices.len() >= self.limits.owed
+            && let Some(dropped) = self.release_notices.pop_front()
+            && dropped.downstream.is_none()
+        {
+            warn!(to = %dropped.client, "too many release notices are queued; dropped the oldest, which is not sent");
+        }
+        self.release_notices.push_back(ReleaseNotice { created_at: now, client, downstream, line });
+    }
+
+    /// Ends a playing session: sends a release to its viewer, if `notify_viewer`, and removes the session's
+    /// state.
+    pub(crate) fn end_session(&mut self, now: Instant, session: Sess, outcome: Ending, notify_viewer: bool) {
+        self.inputs.push(Input::Over { sess: session, how: outcome });
+        let Some(state) = self.sessions.get(&session) else { return };
+        let (tag, client, downstream) = (state.tag, state.client, state.downstream);
+        let line = message::write(Verb::Finish, tag, &[], Some(causes::release_cause(outcome)), None);
+        if let Some(line) = line.filter(|_| notify_viewer) {
+            self.send_release_notice(now, client, Some(downstream), line);
+        }
+        self.clear_playing(session);
+        self.remove_if_finished(session);
+    }
+
+    /// Records that the session no longer plays at its node.
+    pub(crate) fn clear_playing(&mut self, session: Sess) {
+        let Some(state) = self.sessions.get_mut(&session) else { return };
+        let Some((node, _)) = state.playing_at.take() else { return };
+        if let Some(node_state) = self.nodes.get_mut(&node) {
+            node_state.playing.remove(&session);
+        }
+        if let Some(connection) = self.downstreams.get_mut(&state.downstream) {
+            connection.playing = connection.playing.saturating_sub(1);
+        }
+    }
+
+    /// Removes a session that is answered, has no outstanding SETUP and does not play.
+    pub(crate) fn remove_if_finished(&mut self, session: Sess) {
+        let is_finished =
+            |state: &SessionState| state.answered && state.attempt.is_none() && state.playing_at.is_none();
+        if self.sessions.get(&session).is_some_and(is_finished)
+            && let Some(state) = self.sessions.remove(&session)
+        {
+            self.session_by_tag.remove(&state.tag);
+        }
+    }
+
+    /// Closes idle connections and drops expired release notices.
+    fn check_downstreams(&mut self, now: Instant) {
+        let is_idle = |c: &DownstreamConnection| {
+            let (timeout, since) = if c.useful {
+                (IDLE_TIMEOUT_SECONDS, c.idle_since)
+            } else {
+                (USELESS_TIMEOUT_SECONDS, c.opened_at)
+            };
+            c.is_unused() && now - since > Span::from_secs(timeout)
+        };
+        let idle = self.downstreams.iter().filter(|(_, c)| is_idle(c)).map(|(&id, c)| (id, c.useful));
+        for (downstream, useful) in idle.collect::<Vec<_>>() {
+            if useful {
+                self.close_downstream_if_idle(downstream);
+            } else {
+                self.close_downstream(downstream);
+            }
+        }
+        let is_expired =
+            |notice: &ReleaseNotice| now - notice.created_at > Span::from_secs(RELEASE_NOTICE_TTL_SECONDS);
+        while self.release_notices.front().is_some_and(is_expired) {
+            self.release_notices.pop_front();
+        }
+    }
+}
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,26 +1,28 @@
-//! The platform's protocol, free of I/O, clock and threads: lines of JSON between viewers, directors and media nodes, the
-//! event bus, and the [`board`] that connects their words with the engine's. The wire's names end here.
+//! The platform's protocol without I/O, clock or threads: JSON lines between viewers, directors and media
+//! nodes, events from the event bus, and the [`gateway`] that translates both into the engine's inputs and
+//! its effects back into lines. No other package deals with the protocol's field names.
 //!
-//! Nothing that came in is passed on as it came: a message is read into checked values and built anew, since a node
-//! closes on what it can't read together with all else that is open on the connection.
+//! Received messages are never forwarded as they are. Each is parsed into checked values and encoded anew,
+//! because a node that receives a line it can't parse closes the connection, and with it everything else that
+//! is open there.
 
 pub mod ask;
-pub mod board;
-mod bounds;
 pub mod bus;
 pub mod causes;
 pub mod config;
-pub mod line;
+pub mod gateway;
+pub mod line_decoder;
 pub mod message;
-mod peers;
+mod resource_limits;
+mod upstream;
 
-pub use board::{Action, Board, CloseReason, Event, Link, Trunk};
-pub use bounds::Bounds;
 pub use config::Config;
-pub use line::Lines;
+pub use gateway::{Action, Board, CloseReason, Event, Link, Trunk};
+pub use line_decoder::Lines;
 pub use message::{Message, Tag, Verb};
+pub use resource_limits::ResourceLimits;
 
 #[cfg(test)]
-mod same_tests;
+mod equivalence_tests;
 #[cfg(test)]
 mod tests;
--- a/crates/platform/src/message.rs
+++ b/crates/platform/src/message.rs
@@ -1,4 +1,5 @@
-//! Messages as types: read with every field checked, written anew.
+//! Protocol messages as types: incoming lines are parsed with every field checked, outgoing lines are encoded
+//! from checked values.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -8,13 +9,13 @@
 use serde::de::{Error, MapAccess, Visitor};
 use serde::{Deserialize, Deserializer, Serialize};
 
-use crate::line;
+use crate::line_decoder;
 
-/// Names a session on the wire: 16 hex digits, kept as they came.
+/// Identifies a session in the protocol: 16 hex digits, kept in the case in which they were received.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Tag([u8; 16]);
 
-/// As it stands on the wire, so that one session can be followed through the logs.
+/// Prints the digits alone, as in the protocol, so that one session can be followed through the logs.
 impl std::fmt::Debug for Tag {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{self}")
@@ -22,18 +23,21 @@
 }
 
 impl Tag {
+    /// Returns the tag written in `text`, or `None` unless that is exactly 16 hex digits.
     pub fn new(text: &str) -> Option<Tag> {
         let digits: [u8; 16] = text.as_bytes().try_into().ok()?;
         digits.iter().all(u8::is_ascii_hexdigit).then_some(Tag(digits))
     }
 
-    pub fn of(number: u64) -> Tag {
+    /// Returns the tag with the digits of `number`, in lower case.
+    pub fn from_number(number: u64) -> Tag {
         let mut digits = [b'0'; 16];
         let text = format!("{number:016x}");
         digits.copy_from_slice(text.as_bytes());
         Tag(digits)
     }
 
+    /// Returns the digits.
     pub fn as_str(&self) -> &str {
         std::str::from_utf8(&self.0).unwrap_or_default()
     }
@@ -45,44 +49,57 @@
     }
 }
 
+/// What a message asks for or reports; written in upper case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Verb {
+    /// SETUP request, from a viewer or to a node.
     Start,
+    /// A node has received the SETUP.
     Pending,
+    /// The session is set up.
     Started,
+    /// Release: refuses or cancels a SETUP, or ends a playing session. Carries a cause.
     Finish,
+    /// Confirms a release.
     Finished,
+    /// Health check.
     Echo,
+    /// Reply to a health check; cause 1 means that it passed.
     Echoed,
+    /// A node's report: its load, the share delivered, or the rung in force.
     Notice,
+    /// Asks the viewer to set its session up again.
     Move,
+    /// Changes the rung of a playing session.
     Rate,
 }
 
-/// Fields by name, as text: a number on the wire is its digits.
+/// The named fields of a message, as text. Numbers keep their digits.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Opts(BTreeMap<String, String>);
 
 impl Opts {
+    /// Returns the text of a field.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0.get(name).map(String::as_str)
     }
 
-    /// A figure, if it is one and finite.
-    pub fn figure(&self, name: &str) -> Option<f64> {
-        figure(self.get(name)?)
+    /// Returns the value of a field if it is a finite number.
+    pub fn number(&self, name: &str) -> Option<f64> {
+        parse_finite(self.get(name)?)
     }
 }
 
-pub fn figure(text: &str) -> Option<f64> {
-    text.parse().ok().filter(|figure: &f64| figure.is_finite())
+/// Parses a finite number.
+pub fn parse_finite(text: &str) -> Option<f64> {
+    text.parse().ok().filter(|number: &f64| number.is_finite())
 }
 
 impl<'de> Deserialize<'de> for Opts {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Opts, D::Error> {
-        struct Fields;
-        impl<'de> Visitor<'de> for Fields {
+        struct OptsVisitor;
+        impl<'de> Visitor<'de> for OptsVisitor {
             type Value = Opts;
 
             fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -93,45 +110,53 @@
                 let mut fields = BTreeMap::new();
                 while let Some((name, value)) = map.next_entry::<String, Scalar>()? {
                     if fields.contains_key(&name) {
-                        return Err(A::Error::custom(format!("two fields named {name:?}")));
+                        return Err(A::Error::custom(format!("duplicate field {name:?}")));
                     }
                     fields.insert(name, value.0);
                 }
                 Ok(Opts(fields))
             }
         }
-        deserializer.deserialize_map(Fields)
+        deserializer.deserialize_map(OptsVisitor)
     }
 }
 
+/// A string or a number, as text.
 struct Scalar(String);
 
 impl<'de> Deserialize<'de> for Scalar {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Scalar, D::Error> {
         #[derive(Deserialize)]
         #[serde(untagged)]
-        enum Either {
+        enum TextOrNumber {
             Text(String),
             Number(serde_json::Number),
         }
-        Ok(Scalar(match Either::deserialize(deserializer)? {
-            Either::Text(text) => text,
-            Either::Number(number) => number.to_string(),
+        Ok(Scalar(match TextOrNumber::deserialize(deserializer)? {
+            TextOrNumber::Text(text) => text,
+            TextOrNumber::Number(number) => number.to_string(),
         }))
     }
 }
 
+/// A received message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
+    /// What the message asks for or reports.
     pub verb: Verb,
+    /// The session that it is about; `None` if the tag is missing or malformed.
     pub tag: Option<Tag>,
+    /// Further fields by name.
     pub opts: Opts,
+    /// Cause of a release, or result of a health check (`rc`).
     pub cause: Option<u16>,
+    /// Session description of a SETUP or of its answer (`blob`).
     pub description: Option<String>,
 }
 
+/// The JSON object of an incoming message.
 #[derive(Deserialize)]
-struct Raw<'a> {
+struct IncomingMessage<'a> {
     verb: Verb,
     #[serde(default, borrow)]
     tag: Option<Cow<'a, str>>,
@@ -144,26 +169,27 @@
 }
 
 impl Message {
-    /// Reads one line. A tag that isn't one is left out: whether that matters depends on who sent it.
+    /// Parses one line. A malformed tag is read as none: whether the message can do without depends on its
+    /// sender.
     pub fn read(line: &[u8]) -> Result<Message, serde_json::Error> {
-        // A list of the same values would be read as well, and is no message.
+        // serde would also accept a JSON array with the values in order, which the protocol does not allow.
         if line.trim_ascii_start().first().is_some_and(|&first| first != b'{') {
-            return Err(serde_json::Error::custom("an object is wanted"));
+            return Err(serde_json::Error::custom("expected a JSON object"));
         }
-        let raw: Raw = serde_json::from_slice(line)?;
+        let incoming: IncomingMessage = serde_json::from_slice(line)?;
         Ok(Message {
-            verb: raw.verb,
-            tag: raw.tag.and_then(|text| Tag::new(&text)),
-            opts: raw.opts,
-            cause: raw.rc,
-            description: raw.blob,
+            verb: incoming.verb,
+            tag: incoming.tag.and_then(|text| Tag::new(&text)),
+            opts: incoming.opts,
+            cause: incoming.rc,
+            description: incoming.blob,
         })
     }
 }
 
-/// A message to be written.
+/// The JSON object of an outgoing message.
 #[derive(Serialize)]
-struct Written<'a> {
+struct OutgoingMessage<'a> {
     verb: Verb,
     tag: &'a str,
     opts: BTreeMap<&'a str, &'a str>,
@@ -173,7 +199,8 @@
     blob: Option<&'a str>,
 }
 
-/// One line with its line feed; none where it would be longer than a message may be.
+/// Encodes a message as one line that ends in a line feed. Returns `None` if the line, line feed included,
+/// would exceed [`line_decoder::MAX_LINE_BYTES`].
 pub fn write(
     verb: Verb,
     tag: Tag,
@@ -182,8 +209,8 @@
     description: Option<&str>,
 ) -> Option<Bytes> {
     let opts = opts.iter().copied().collect();
-    let written = Written { verb, tag: tag.as_str(), opts, rc: cause, blob: description };
-    let mut line = serde_json::to_vec(&written).ok()?;
+    let outgoing = OutgoingMessage { verb, tag: tag.as_str(), opts, rc: cause, blob: description };
+    let mut line = serde_json::to_vec(&outgoing).ok()?;
     line.push(b'\n');
-    (line.len() <= line::MOST).then(|| line.into())
+    (line.len() <= line_decoder::MAX_LINE_BYTES).then(|| line.into())
 }
--- /dev/null
+++ b/crates/platform/src/upstream.rs
@@ -0,0 +1,924 @@
+//! The gateway's side towards media nodes: connections, lines queued for them, and health checks of nodes
+//! that have fallen silent.
+//!
+//! A playing session is not tied to a connection. Normally its node reports its end; where the node can't,
+//! the end is inferred: a node that refuses connections has terminated, a node that answers no health check
+//! and accepts no connection is gone, and a node that according to the node list has started since has lost
+//! its earlier sessions.
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::net::SocketAddr;
+
+use ashglade::ids::{Node, Rung, Sess, SetupNo};
+use ashglade::interface::{Ending, Gauge};
+use ashglade::time::{Instant, Span};
+use ashglade_engine::{Input, Load, Standing, Told};
+use bytes::Bytes;
+use tracing::{debug, trace, warn};
+
+use crate::bus::DiscoveryUpdate;
+use crate::causes;
+use crate::gateway::{Action, Attempt, Board, CloseReason, Trunk};
+use crate::message::{self, Message, Tag, Verb, parse_finite};
+
+/// Time without a message after which a node with playing sessions is checked. With the timeouts below, the
+/// viewers of sessions that were lost without notice get their release within the 8 s that the protocol
+/// allows.
+const QUIET_PERIOD_SECONDS: f64 = 3.5;
+/// Time after which an unanswered health check counts as failed, and another connection is tried.
+const HEALTH_CHECK_TIMEOUT_SECONDS: f64 = 0.5;
+/// Time without a message or a new connection after which a node counts as gone.
+const NODE_GONE_TIMEOUT_SECONDS: f64 = 5.0;
+/// A connection that is lost within this time after its last message was not lost because its machine failed.
+const RECENT_MESSAGE_SECONDS: f64 = 2.0;
+/// Time between connection attempts to a node with playing sessions. For a node that only has queued lines,
+/// each failed attempt doubles it.
+const RECONNECT_INTERVAL_SECONDS: f64 = 0.25;
+/// Time that a line is queued for a node that accepts no connection, and the age up to which unconfirmed
+/// releases of a lost connection are sent again.
+const QUEUED_LINE_TTL_SECONDS: f64 = 8.0;
+/// Time after which a node that is known only by handed-over sessions, and that the node list has not named,
+/// counts as gone.
+const UNLISTED_NODE_TIMEOUT_SECONDS: f64 = 2.0;
+/// Maximum number of connections to one node. Each carries as many concurrent SETUPs as the settings allow,
+/// and a node accepts few connections from all directors together. A SETUP that finds all of them full fails
+/// as unsent and is placed elsewhere.
+const MAX_UPSTREAMS_PER_NODE: usize = 4;
+
+/// A media node and what waits for it.
+pub(crate) struct NodeState {
+    name: String,
+    address: Option<SocketAddr>,
+    /// The node list has named the node; a handed-over session may name it earlier.
+    listed: bool,
+    pub removed: bool,
+    upstreams: BTreeSet<Trunk>,
+    /// Sessions whose SETUP waits for a connection.
+    waiting_setups: VecDeque<Sess>,
+    /// The engine's probes that wait for a connection.
+    waiting_probes: Vec<u64>,
+    /// Releases and rung changes, which any connection may carry, with the time at which each was queued.
+    queued_lines: VecDeque<(Instant, Bytes)>,
+    /// Sessions that play at the node.
+    pub playing: BTreeSet<Sess>,
+    last_heard_at: Instant,
+    /// When the health check that is unanswered was sent.
+    health_check_sent_at: Option<Instant>,
+    last_connect_at: Instant,
+    /// Number of consecutive connections that were not established.
+    connect_failures: u32,
+    /// Since when a failed SETUP or a lost connection makes it possible that the node's process has
+    /// restarted.
+    restart_suspected_at: Option<Instant>,
+    /// When a connection was lost shortly after it had carried a message. If the next one is established at
+    /// once, the process probably keeps running.
+    connection_lost_at: Option<Instant>,
+}
+
+impl NodeState {
+    fn new(name: String, now: Instant) -> NodeState {
+        NodeState {
+            name,
+            address: None,
+            listed: false,
+            removed: false,
+            upstreams: BTreeSet::new(),
+            waiting_setups: VecDeque::new(),
+            waiting_probes: Vec::new(),
+            queued_lines: VecDeque::new(),
+            playing: BTreeSet::new(),
+            last_heard_at: now,
+            health_check_sent_at: None,
+            last_connect_at: Instant::LONG_AGO,
+            connect_failures: 0,
+            restart_suspected_at: None,
+            connection_lost_at: None,
+        }
+    }
+}
+
+/// A connection to a node.
+pub(crate) struct UpstreamConnection {
+    pub node: Node,
+    connected: bool,
+    /// When the connection attempt began.
+    created_at: Instant,
+    last_heard_at: Instant,
+    /// The connection was established at once after another one was lost shortly after a message.
+    resumes: bool,
+    /// Sessions whose SETUP was sent here and has no answer.
+    pending: BTreeSet<Sess>,
+    /// Releases sent here that the node has not confirmed, with the time of each.
+    unconfirmed_releases: VecDeque<(Instant, Tag)>,
+    /// Unanswered health checks, with the number of the probe if the engine requested one.
+    health_checks: BTreeMap<Tag, Option<u64>>,
+}
+
+impl Board {
+    // Events
+
+    pub(crate) fn apply_discovery_update(&mut self, now: Instant, update: DiscoveryUpdate) {
+        let mut unnamed: BTreeSet<Node> = BTreeSet::new();
+        if update.snapshot {
+            unnamed.extend(self.nodes.keys());
+        }
+        let mut nodes = Vec::with_capacity(update.nodes.len());
+        for endpoint in update.nodes {
+            unnamed.remove(&endpoint.node);
+            let standing = match (endpoint.ready, endpoint.removed) {
+                (true, _) => Standing::Ready(endpoint.place),
+                (_, true) => Standing::Gone,
+                _ => Standing::Draining,
+            };
+            nodes.push(Told { node: endpoint.node, standing });
+            let name = endpoint.name;
+            let node_state = self.nodes.entry(endpoint.node).or_insert_with(|| NodeState::new(name, now));
+            node_state.listed = true;
+            node_state.removed = endpoint.removed;
+            let had_no_address = node_state.address.is_none();
+            node_state.address = endpoint.address.or(node_state.address).filter(|_| !endpoint.removed);
+            let needs_connection =
+                had_no_address && node_state.address.is_some() && !node_state.playing.is_empty();
+            if endpoint.removed {
+                node_state.queued_lines.clear();
+            }
+            if let Some(started) = endpoint.place.started {
+                self.node_started(now, endpoint.node, started);
+            }
+            if needs_connection {
+                self.connect(now, endpoint.node);
+            }
+        }
+        for node in unnamed {
+            nodes.push(Told { node, standing: Standing::Gone });
+            if let Some(node_state) = self.nodes.get_mut(&node) {
+                (node_state.listed, node_state.removed, node_state.address) = (true, true, None);
+                node_state.queued_lines.clear();
+            }
+        }
+        self.inputs.push(Input::Told { whole: update.snapshot, nodes });
+    }
+
+    /// Ends the sessions and the connections that are older than the start of the node's process: they are
+    /// lost.
+    fn node_started(&mut self, now: Instant, node: Node, started: Instant) {
+        let Some(node_state) = self.nodes.get(&node) else { return };
+        let predates_start =
+            |upstream: &Trunk| self.upstreams.get(upstream).is_some_and(|c| c.created_at < started);
+        let stale: Vec<Trunk> = node_state.upstreams.iter().copied().filter(predates_start).collect();
+        let played_before = |session: &Sess| {
+            self.sessions.get(session).and_then(|state| state.playing_at).is_some_and(|at| at.1 < started)
+        };
+        let lost: Vec<Sess> = node_state.playing.iter().copied().filter(played_before).collect();
+        for session in lost {
+            self.end_session(now, session, Ending::Lost, true);
+        }
+        for upstream in stale {
+            self.abandon_upstream(now, upstream);
+        }
+    }
+
+    /// Adds a node at which a handed-over session plays, if it is unknown. The node list may name it a moment
+    /// later.
+    pub(crate) fn ensure_node(&mut self, now: Instant, node: Node, name: &str) {
+        self.nodes.entry(node).or_insert_with(|| NodeState::new(name.to_string(), now));
+    }
+
+    pub(crate) fn upstream_connected(&mut self, now: Instant, upstream: Trunk) {
+        let Some(connection) = self.upstreams.get_mut(&upstream) else { return };
+        (connection.connected, connection.last_heard_at) = (true, now);
+        let node = connection.node;
+        let Some(node_state) = self.nodes.get_mut(&node) else { return };
+        (node_state.last_heard_at, node_state.connect_failures) = (now, 0);
+        // A terminated process accepts no connection for a while, and a failed machine has been silent for
+        // long, so a quick reconnect suggests that the process keeps running. But the kernel also accepts
+        // connections for a process that is being killed: only a message on the new connection proves it.
+        connection.resumes =
+            node_state.connection_lost_at.take().is_some_and(|at| now - at <= self.site.dial_timeout);
+        let queued_lines = std::mem::take(&mut node_state.queued_lines);
+        let (setups, probes) =
+            (std::mem::take(&mut node_state.waiting_setups), std::mem::take(&mut node_state.waiting_probes));
+        // A connection that failed its health check is replaced by the new one.
+        let check_failed = node_state
+            .health_check_sent_at
+            .take()
+            .is_some_and(|at| now - at > Span::from_secs(HEALTH_CHECK_TIMEOUT_SECONDS));
+        let failed: Vec<Trunk> =
+            node_state.upstreams.iter().copied().filter(|&id| check_failed && id != upstream).collect();
+        for (_, line) in queued_lines {
+            self.send_line(now, upstream, line);
+        }
+        for session in setups {
+            self.send_setup(now, session, upstream);
+        }
+        for probe in probes {
+            self.send_health_check(upstream, Some(probe));
+        }
+        for upstream in failed {
+            if self.upstreams.get(&upstream).is_some_and(|connection| connection.connected) {
+                self.abandon_upstream(now, upstream);
+            }
+        }
+    }
+
+    pub(crate) fn upstream_message(&mut self, now: Instant, upstream: Trunk, message: Message) {
+        let Some(connection) = self.upstreams.get_mut(&upstream) else { return };
+        connection.last_heard_at = now;
+        let node = connection.node;
+        trace!(trunk = upstream.0, ?message, "received from a node");
+        // A node that fails a health check may already have ended with its sessions. The reply is therefore
+        // no sign of life: a new connection shows whether the node is still there.
+        let failed_check = message.verb == Verb::Echoed && message.cause != Some(1);
+        if let Some(node_state) = self.nodes.get_mut(&node).filter(|_| !failed_check) {
+            (node_state.last_heard_at, node_state.health_check_sent_at) = (now, None);
+        }
+        let Some(tag) = message.tag else { return self.close_on_protocol_error(now, upstream) };
+        if matches!(message.verb, Verb::Finish | Verb::Finished) {
+            connection.unconfirmed_releases.retain(|&(_, released)| released != tag);
+        }
+        let load = message.opts.get("load").map(parse_load);
+        let session = self.session_by_tag.get(&tag).copied();
+        let state = session.and_then(|session| self.sessions.get(&session));
+        let was_sent_here = |attempt: &Attempt| attempt.sent.is_some_and(|(sent, _)| sent == upstream);
+        let attempt = state
+            .and_then(|state| state.attempt.as_ref())
+            .filter(|attempt| was_sent_here(attempt))
+            .map(|attempt| attempt.setup);
+        let plays_here = state.and_then(|state| state.playing_at).is_some_and(|(at, _)| at == node);
+        // After a restart, nothing could be received on a connection, or about a session, that is older than
+        // the suspicion. A release without a cause, or with the cause for interrupted sessions, does not
+        // count for its session.
+        let interrupted =
+            message.verb == Verb::Finish && message.cause.is_none_or(|cause| cause == causes::INTERRUPTED);
+        let playing_since = state
+            .and_then(|state| state.playing_at)
+            .filter(|_| plays_here && !interrupted)
+            .map(|(_, since)| since);
+        let (created_at, resumes) = self
+            .upstreams
+            .get(&upstream)
+            .map(|connection| (connection.created_at, connection.resumes))
+            .unzip();
+        if let Some(node_state) = self.nodes.get_mut(&node).filter(|_| !failed_check)
+            && let Some(suspected_at) = node_state.restart_suspected_at
+            && (resumes == Some(true)
+                || created_at.into_iter().chain(playing_since).any(|before| before < suspected_at))
+        {
+            node_state.restart_suspected_at = None;
+            debug!(name = node_state.name, resumes, "the node's process has not restarted");
+            self.inputs.push(Input::WentOn { node });
+        }
+        match (message.verb, session) {
+            (Verb::Started, Some(session)) if attempt.is_some() => {
+                let Some(text) = message.description else {
+                    return self.close_on_protocol_error(now, upstream);
+                };
+                let Some(setup) = attempt else { return };
+                self.clear_attempt(session);
+                if let Some(state) = self.sessions.get_mut(&session) {
+                    (state.playing_at, state.description, state.request) =
+                        (Some((node, now)), Some(text), None);
+                }
+                self.session_plays(now, session, node);
+                self.inputs.push(Input::Started { sess: session, setup, load });
+            }
+            (Verb::Started, _) if !plays_here => {
+                // The SETUP was cancelled meanwhile, or was never sent.
+                if let Some(index) = self.cancelled_setups.iter().position(|&setup| setup == (node, tag)) {
+                    self.cancelled_setups.remove(index);
+                    self.send_to_node(now, node, Verb::Finish, tag, &[], Some(causes::NORMAL_RELEASE));
+                }
+            }
+            (Verb::Finish, session) => {
+                let Some(cause) = message.cause else { return self.close_on_protocol_error(now, upstream) };
+                match (session, attempt) {
+                    (Some(session), Some(setup)) => {
+                        self.clear_attempt(session);
+                        let outcome = causes::setup_outcome(cause);
+                        self.inputs.push(Input::Ended { sess: session, setup, how: outcome, load });
+                        self.report_node_alive(node, outcome, true);
+                        self.remove_if_finished(session);
+                    }
+                    (Some(session), None) if plays_here => {
+                        self.inputs.extend(load.map(|load| Input::Load { node, load }));
+                        let (outcome, notify_viewer) = causes::session_outcome(cause);
+                        let playing_since = self
+                            .sessions
+                            .get(&session)
+                            .and_then(|state| state.playing_at)
+                            .map(|(_, since)| since);
+                        let same_connection =
+                            created_at.zip(playing_since).is_some_and(|(created, since)| created <= since);
+                        self.end_session(now, session, outcome, notify_viewer);
+                        self.report_node_alive(node, outcome, same_connection);
+                    }
+                    _ => {}
+                }
+            }
+            (Verb::Echoed, _) => {
+                let check = self
+                    .upstreams
+                    .get_mut(&upstream)
+                    .and_then(|connection| connection.health_checks.remove(&tag));
+                let passed = message.cause == Some(1);
+                match check {
+                    Some(Some(probe)) => {
+                        let load = passed.then(|| load.unwrap_or_default());
+                        self.inputs.push(Input::Probed { probe, load });
+                    }
+                    // The gateway's own health checks bring the same load reports as the engine's probes.
+                    Some(None) if passed => {
+                        self.inputs.extend(load.map(|load| Input::Load { node, load }));
+                    }
+                    _ => {}
+                }
+            }
+            (Verb::Notice, Some(session)) if plays_here => {
+                let Some(value) = message.opts.number("value") else { return };
+                match message.opts.get("note") {
+                    Some("d") => self.inputs.push(Input::Delivered { node, share: value }),
+                    Some("r") => self.inputs.push(Input::Stays { sess: session, rung: Rung(value as u8) }),
+                    Some("l") => {
+                        let load = Load { link: Some(value), ..Load::default() };
+                        self.inputs.push(Input::Load { node, load });
+                    }
+                    Some("u") => {
+                        let load = Load { uplink: Some(value), ..Load::default() };
+                        self.inputs.push(Input::Load { node, load });
+                    }
+                    _ => {}
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// Tells the engine that the node keeps running if the node itself reported a session as lost, on a
+    /// connection that is at least as old as the session.
+    fn report_node_alive(&mut self, node: Node, outcome: Ending, same_connection: bool) {
+        if outcome == Ending::Lost && same_connection {
+            self.inputs.push(Input::WentOn { node });
+        }
+    }
+
+    pub(crate) fn upstream_closed(&mut self, now: Instant, upstream: Trunk, reason: CloseReason) {
+        let Some(connection) = self.upstreams.remove(&upstream) else { return };
+        let name = self.nodes.get(&connection.node).map(|node_state| &node_state.name);
+        debug!(
+            name,
+            trunk = upstream.0,
+            ?reason,
+            open = connection.pending.len(),
+            "connection to a node closed"
+        );
+        let node = connection.node;
+        if let Some(node_state) = self.nodes.get_mut(&node) {
+            let lost_after_message = matches!(reason, CloseReason::Lost | CloseReason::Spoilt)
+                && connection.connected
+                && now - connection.last_heard_at <= Span::from_secs(RECENT_MESSAGE_SECONDS);
+            if !connection.pending.is_empty() {
+                node_state.restart_suspected_at = Some(now);
+            }
+            node_state.connection_lost_at =
+                (lost_after_message && node_state.restart_suspected_at.is_some()).then_some(now);
+        }
+        for session in connection.pending {
+            let Some(state) = self.sessions.get_mut(&session) else { continue };
+            let Some(attempt) = state.attempt.take() else { continue };
+            // The session may have started, and may play at the node without being known here.
+            let tag = state.tag;
+            self.inputs.push(Input::Ended {
+                sess: session,
+                setup: attempt.setup,
+                how: Ending::Lost,
+                load: None,
+            });
+            self.queue_release(now, node, tag);
+            self.remove_if_finished(session);
+        }
+        for probe in connection.health_checks.into_values().flatten() {
+            self.inputs.push(Input::Probed { probe, load: None });
+        }
+        // Unconfirmed releases may have been lost with the connection.
+        for (_, tag) in connection
+            .unconfirmed_releases
+            .into_iter()
+            .filter(|(at, _)| now - *at <= Span::from_secs(QUEUED_LINE_TTL_SECONDS))
+        {
+            self.queue_release(now, node, tag);
+        }
+        let Some(node_state) = self.nodes.get_mut(&node) else { return };
+        node_state.upstreams.remove(&upstream);
+        if reason == CloseReason::NeverUp {
+            node_state.connect_failures = (node_state.connect_failures + 1).min(16);
+        }
+        if reason == CloseReason::Refused {
+            // The process has terminated, and with it the sessions that played when this connection attempt
+            // began.
+            self.end_lost_sessions(now, node, connection.created_at);
+        }
+        self.fail_waiting(node, reason);
+        let Some(node_state) = self.nodes.get(&node) else { return };
+        let has_lines = !node_state.queued_lines.is_empty() && node_state.connect_failures == 0;
+        let needed = !node_state.playing.is_empty() || has_lines || node_state.connection_lost_at.is_some();
+        if needed
+            && node_state.upstreams.is_empty()
+            && now - node_state.last_connect_at > Span::from_secs(RECONNECT_INTERVAL_SECONDS)
+        {
+            self.connect(now, node);
+        }
+    }
+
+    /// Ends the sessions that have played at the node since `until` or earlier, as lost, and drops lines that
+    /// were queued by then.
+    fn end_lost_sessions(&mut self, now: Instant, node: Node, until: Instant) {
+        let Some(node_state) = self.nodes.get_mut(&node) else { return };
+        node_state.queued_lines.retain(|(queued_at, _)| *queued_at > until);
+        let played_by_then = |session: &Sess| {
+            self.sessions.get(session).and_then(|state| state.playing_at).is_none_or(|at| at.1 <= until)
+        };
+        let lost: Vec<Sess> = node_state.playing.iter().copied().filter(played_by_then).collect();
+        for session in lost {
+            self.end_session(now, session, Ending::Lost, true);
+        }
+    }
+
+    /// Cancels a SETUP that still waits for a connection, as its viewer has left. Applies also where the
+    /// settings don't allow sent SETUPs to be cancelled.
+    pub(crate) fn cancel_unsent_attempt(&mut self, session: Sess) {
+        let Some(state) = self.sessions.get_mut(&session) else { return };
+        let Some(attempt) = state.attempt.take_if(|attempt| attempt.sent.is_none()) else { return };
+        if let Some(node_state) = self.nodes.get_mut(&attempt.node) {
+            node_state.waiting_setups.retain(|&other| other != session);
+        }
+        self.inputs.push(Input::Ended {
+            sess: session,
+            setup: attempt.setup,
+            how: Ending::Unsent,
+            load: None,
+        });
+    }
+
+    /// Fails the SETUPs and probes that wait for a connection to the node, unless one is still being
+    /// established.
+    fn fail_waiting(&mut self, node: Node, reason: CloseReason) {
+        // Without local resources no connection was attempted.
+        let outcome = if reason == CloseReason::Wanting { Ending::Unsent } else { Ending::Unreachable };
+        let Some(node_state) = self.nodes.get_mut(&node) else { return };
+        if node_state
+            .upstreams
+            .iter()
+            .any(|upstream| self.upstreams.get(upstream).is_some_and(|connection| !connection.connected))
+        {
+            return;
+        }
+        let (setups, probes) =
+            (std::mem::take(&mut node_state.waiting_setups), std::mem::take(&mut node_state.waiting_probes));
+        for session in setups {
+            let Some(attempt) = self.sessions.get_mut(&session).and_then(|state| state.attempt.take()) else {
+                continue;
+            };
+            self.inputs.push(Input::Ended { sess: session, setup: attempt.setup, how: outcome, load: None });
+            self.remove_if_finished(session);
+        }
+        self.inputs.extend(probes.into_iter().map(|probe| Input::Probed { probe, load: None }));
+    }
+
+    // Effects of the engine
+
+    pub(crate) fn start_attempt(&mut self, now: Instant, session: Sess, attempt: Attempt) {
+        let (node, setup) = (attempt.node, attempt.setup);
+        let Some(state) = self.sessions.get_mut(&session) else { return };
+        if self.nodes.get(&node).is_none_or(|node_state| node_state.address.is_none()) {
+            return self.inputs.push(Input::Ended { sess: session, setup, how: Ending::Unsent, load: None });
+        }
+        state.attempt = Some(attempt);
+        match self.available_upstream(now, node) {
+            Some(upstream) => self.send_setup(now, session, upstream),
+            None => match self.nodes.get_mut(&node) {
+                Some(node_state)
+                    if node_state
+                        .upstreams
+                        .iter()
+                        .any(|id| self.upstreams.get(id).is_some_and(|connection| !connection.connected)) =>
+                {
+                    node_state.waiting_setups.push_back(session);
+                }
+                // All connections that the node may have are full, or no descriptor is left: nothing was
+                // sent.
+                _ => {
+                    if let Some(state) = self.sessions.get_mut(&session) {
+                        state.attempt = None;
+                    }
+                    self.inputs.push(Input::Ended { sess: session, setup, how: Ending::Unsent, load: None });
+                }
+            },
+        }
+    }
+
+    /// Sends the SETUP of the session's attempt. From here on the session may start at the node.
+    fn send_setup(&mut self, now: Instant, session: Sess, upstream: Trunk) {
+        let Some(state) = self.sessions.get_mut(&session) else { return };
+        let (Some(attempt), Some(request)) = (state.attempt.as_mut(), state.request.as_ref()) else { return };
+        let setup = attempt.setup;
+        if state.answered || now >= attempt.deadline {
+            // No one waits for it any longer.
+            state.attempt = None;
+            self.inputs.push(Input::Ended { sess: session, setup, how: Ending::Unsent, load: None });
+            return self.remove_if_finished(session);
+        }
+        let (rung, left_ms) =
+            (attempt.rung.0.to_string(), (attempt.deadline - now).as_ms().floor().max(1.0).to_string());
+        let opts = [
+            ("class", request.class.as_str()),
+            ("key", request.key.as_str()),
+            ("left", &left_ms),
+            ("rung", &rung),
+        ];
+        let line = message::write(Verb::Start, state.tag, &opts, None, Some(&request.description));
+        let Some(line) = line else {
+            state.attempt = None;
+            return self.inputs.push(Input::Ended { sess: session, setup, how: Ending::Unsent, load: None });
+        };
+        attempt.sent = Some((upstream, now));
+        state.setup_sent = true;
+        if let Some(connection) = self.upstreams.get_mut(&upstream) {
+            connection.pending.insert(session);
+        }
+        self.inputs.push(Input::Written { sess: session, setup });
+        self.actions.push(Action::ToNode(upstream, line));
+    }
+
+    /// Cancels a SETUP and reports its outcome to the engine. With `if_unsent`, a SETUP that has been sent
+    /// goes on.
+    pub(crate) fn cancel_attempt(&mut self, now: Instant, session: Sess, setup: SetupNo, if_unsent: bool) {
+        let Some(state) = self.sessions.get_mut(&session) else { return };
+        let Some(attempt) = state.attempt.as_ref().filter(|attempt| attempt.setup == setup) else { return };
+        let (tag, node, timed_out, sent) = (state.tag, attempt.node, now >= attempt.deadline, attempt.sent);
+        let Some((upstream, sent_at)) = sent else {
+            state.attempt = None;
+            if let Some(node_state) = self.nodes.get_mut(&node) {
+                node_state.waiting_setups.retain(|&other| other != session);
+            }
+            let outcome = if timed_out { Ending::Unreachable } else { Ending::Unsent };
+            self.inputs.push(Input::Ended { sess: session, setup, how: outcome, load: None });
+            return self.remove_if_finished(session);
+        };
+        if if_unsent {
+            return;
+        }
+        self.clear_attempt(session);
+        self.cancelled_setups.push_back((node, tag));
+        if self.cancelled_setups.len() > self.limits.owed {
+            self.cancelled_setups.pop_front();
+            warn!(
+                "too many cancelled SETUPs are held; dropped the oldest, whose session is not released if it still starts"
+            );
+        }
+        self.inputs.push(Input::Ended { sess: session, setup, how: Ending::Silent, load: None });
+        if timed_out && let Some(node_state) = self.nodes.get_mut(&node) {
+            node_state.restart_suspected_at = Some(now);
+        }
+        if let Some(line) = encode_release(tag) {
+            self.send_line(now, upstream, line);
+        }
+        // Nothing has been received since the SETUP was sent: whatever the cause, nothing else that is
+        // pending on this connection will be answered.
+        if timed_out
+            && self.upstreams.get(&upstream).is_some_and(|connection| connection.last_heard_at <= sent_at)
+        {
+            self.abandon_upstream(now, upstream);
+        }
+        self.remove_if_finished(session);
+    }
+
+    pub(crate) fn change_rung(&mut self, now: Instant, session: Sess, rung: Rung) {
+        let Some(state) = self.sessions.get(&session) else { return };
+        if let Some((node, _)) = state.playing_at {
+            let tag = state.tag;
+            self.send_to_node(now, node, Verb::Rate, tag, &[("rung", &rung.0.to_string())], None);
+        }
+    }
+
+    /// Tears the session down at its node, if it plays.
+    pub(crate) fn release_session(&mut self, now: Instant, session: Sess) {
+        if let Some((node, _)) = self.sessions.get(&session).and_then(|state| state.playing_at)
+            && let Some(tag) = self.sessions.get(&session).map(|state| state.tag)
+        {
+            self.clear_playing(session);
+            self.send_to_node(now, node, Verb::Finish, tag, &[], Some(causes::NORMAL_RELEASE));
+        }
+        self.remove_if_finished(session);
+    }
+
+    pub(crate) fn start_probe(&mut self, now: Instant, probe: u64, node: Node) {
+        match self.available_upstream(now, node) {
+            Some(upstream) => self.send_health_check(upstream, Some(probe)),
+            None => match self.nodes.get_mut(&node) {
+                Some(node_state) if !node_state.upstreams.is_empty() => node_state.waiting_probes.push(probe),
+                _ => self.inputs.push(Input::Probed { probe, load: None }),
+            },
+        }
+    }
+
+    // Connections
+
+    /// Records that the session plays at the node, and connects to the node if there is no connection on
+    /// which it could report the session's end.
+    pub(crate) fn session_plays(&mut self, now: Instant, session: Sess, node: Node) {
+        let Some(node_state) = self.nodes.get_mut(&node) else { return };
+        node_state.playing.insert(session);
+        if node_state.upstreams.is_empty() {
+            node_state.last_heard_at = now;
+            self.connect(now, node);
+        }
+    }
+
+    /// Removes the session's attempt, which has been answered or cancelled.
+    fn clear_attempt(&mut self, session: Sess) {
+        let attempt = self.sessions.get_mut(&session).and_then(|state| state.attempt.take());
+        if let Some((upstream, _)) = attempt.and_then(|attempt| attempt.sent)
+            && let Some(connection) = self.upstreams.get_mut(&upstream)
+        {
+            connection.pending.remove(&session);
+        }
+    }
+
+    /// Returns a connection that can carry a further SETUP. If there is none, starts to connect unless that
+    /// is under way or not allowed.
+    fn available_upstream(&mut self, now: Instant, node: Node) -> Option<Trunk> {
+        let node_state = self.nodes.get(&node)?;
+        let max_pending = self.site.streams.unwrap_or(usize::MAX);
+        let has_room = |upstream: &&Trunk| {
+            self.upstreams.get(upstream).is_some_and(|c| c.connected && c.pending.len() < max_pending)
+        };
+        if let Some(&upstream) = node_state.upstreams.iter().rev().find(has_room) {
+            return Some(upstream);
+        }
+        if node_state
+            .upstreams
+            .iter()
+            .all(|upstream| self.upstreams.get(upstream).is_none_or(|connection| connection.connected))
+        {
+            self.connect(now, node);
+        }
+        None
+    }
+
+    /// Starts to connect to the node, unless it has no address, or the limits on connections don't allow it.
+    fn connect(&mut self, now: Instant, node: Node) {
+        let Some(node_state) = self.nodes.get_mut(&node) else { return };
+        let Some(address) =
+            node_state.address.filter(|_| node_state.upstreams.len() < MAX_UPSTREAMS_PER_NODE)
+        else {
+            return;
+        };
+        if self.upstreams.len() >= self.descriptors()[1] {
+            self.close_unused_upstream(now);
+            if self.upstreams.len() >= self.descriptors()[1] {
+                return;
+            }
+        }
+        let Some(node_state) = self.nodes.get_mut(&node) else { return };
+        let upstream = Trunk(self.next_upstream);
+        self.next_upstream += 1;
+        node_state.upstreams.insert(upstream);
+        node_state.last_connect_at = now;
+        let connection = UpstreamConnection {
+            node,
+            connected: false,
+            created_at: now,
+            last_heard_at: now,
+            resumes: false,
+            pending: BTreeSet::new(),
+            unconfirmed_releases: VecDeque::new(),
+            health_checks: BTreeMap::new(),
+        };
+        self.upstreams.insert(upstream, connection);
+        self.actions.push(Action::Dial(upstream, address));
+    }
+
+    /// Closes the connection that has been unused for longest, if any, to free a descriptor.
+    fn close_unused_upstream(&mut self, now: Instant) {
+        let is_idle = |connection: &UpstreamConnection| {
+            connection.connected && connection.pending.is_empty() && connection.health_checks.is_empty()
+        };
+        let nothing_plays = |connection: &UpstreamConnection| {
+            self.nodes.get(&connection.node).is_none_or(|node_state| node_state.playing.is_empty())
+        };
+        let unused =
+            self.upstreams.iter().filter(|(_, connection)| is_idle(connection) && nothing_plays(connection));
+        if let Some(upstream) =
+            unused.min_by_key(|(_, connection)| connection.last_heard_at).map(|(&upstream, _)| upstream)
+        {
+            debug!(trunk = upstream.0, "closing an unused connection to free a descriptor");
+            self.abandon_upstream(now, upstream);
+        }
+    }
+
+    pub(crate) fn close_on_protocol_error(&mut self, now: Instant, upstream: Trunk) {
+        self.close_upstream(upstream);
+        self.upstream_closed(now, upstream, CloseReason::Spoilt);
+    }
+
+    pub(crate) fn abandon_upstream(&mut self, now: Instant, upstream: Trunk) {
+        self.close_upstream(upstream);
+        self.upstream_closed(now, upstream, CloseReason::Silent);
+    }
+
+    fn close_upstream(&mut self, upstream: Trunk) {
+        if let Some(connection) = self.upstreams.get(&upstream) {
+            self.closing_upstreams.insert(upstream, connection.node);
+            self.actions.push(Action::HangUp(upstream));
+        }
+    }
+
+    /// Queues the releases among lines that were not written before their connection ended, for another
+    /// connection.
+    pub(crate) fn upstream_undelivered(&mut self, now: Instant, upstream: Trunk, lines: Vec<Bytes>) {
+        let Some(&node) = self.closing_upstreams.get(&upstream) else { return };
+        for line in lines {
+            let release = Message::read(&line).ok().filter(|message| message.verb == Verb::Finish);
+            if let Some(tag) = release.and_then(|message| message.tag) {
+                self.queue_release(now, node, tag);
+            }
+        }
+    }
+
+    /// Sends a line. A release is remembered until the node confirms it.
+    fn send_line(&mut self, now: Instant, upstream: Trunk, line: Bytes) {
+        let release = Message::read(&line).ok().filter(|message| message.verb == Verb::Finish);
+        if let Some(tag) = release.and_then(|message| message.tag)
+            && let Some(connection) = self.upstreams.get_mut(&upstream)
+        {
+            if connection.unconfirmed_releases.len() >= self.limits.owed {
+                connection.unconfirmed_releases.pop_front();
+                warn!(
+                    trunk = upstream.0,
+                    "too many releases are unconfirmed; dropped the oldest, which is not sent again"
+                );
+            }
+            connection.unconfirmed_releases.push_back((now, tag));
+        }
+        self.actions.push(Action::ToNode(upstream, line));
+    }
+
+    /// Returns whether no line waits for a connection to a node.
+    pub(crate) fn no_lines_queued_for_nodes(&self) -> bool {
+        self.nodes.values().all(|node_state| node_state.queued_lines.is_empty())
+    }
+
+    /// Sends a health check, for the engine's `probe` if given.
+    fn send_health_check(&mut self, upstream: Trunk, probe: Option<u64>) {
+        let tag = Tag::from_number(self.next_health_check);
+        self.next_health_check = self.next_health_check.wrapping_add(1);
+        if let Some(connection) = self.upstreams.get_mut(&upstream) {
+            connection.health_checks.insert(tag, probe);
+        }
+        // Cause 1 asks for a load report, which costs nothing extra.
+        let line = message::write(Verb::Echo, tag, &[], Some(1), None);
+        self.actions.extend(line.map(|line| Action::ToNode(upstream, line)));
+    }
+
+    /// Queues a release for the next connection to the node, unless the same release is queued already.
+    fn queue_release(&mut self, now: Instant, node: Node, tag: Tag) {
+        let Some(line) = encode_release(tag) else { return };
+        let is_queued =
+            |node_state: &NodeState| node_state.queued_lines.iter().any(|(_, other)| *other == line);
+        if self.nodes.get(&node).is_some_and(|node_state| !is_queued(node_state)) {
+            self.queue_line(now, node, line);
+        }
+    }
+
+    /// Queues a line until there is a connection to the node.
+    fn queue_line(&mut self, now: Instant, node: Node, line: Bytes) {
+        let Some(node_state) = self.nodes.get_mut(&node) else { return };
+        if node_state.queued_lines.len() < self.limits.owed {
+            node_state.queued_lines.push_back((now, line));
+        } else {
+            warn!(name = node_state.name, "too many lines wait for a connection; dropped the newest");
+        }
+    }
+
+    /// Sends a message on any connection to the node, or queues it and connects if there is none.
+    fn send_to_node(
+        &mut self,
+        now: Instant,
+        node: Node,
+        verb: Verb,
+        tag: Tag,
+        opts: &[(&str, &str)],
+        cause: Option<u16>,
+    ) {
+        let Some(line) = message::write(verb, tag, opts, cause, None) else { return };
+        let Some(node_state) = self.nodes.get_mut(&node) else { return };
+        let is_connected =
+            |upstream: &&Trunk| self.upstreams.get(upstream).is_some_and(|connection| connection.connected);
+        if let Some(&upstream) = node_state.upstreams.iter().rev().find(is_connected) {
+            return self.send_line(now, upstream, line);
+        }
+        let has_no_connection = node_state.upstreams.is_empty();
+        self.queue_line(now, node, line);
+        if has_no_connection {
+            self.connect(now, node);
+        }
+    }
+
+    pub(crate) fn check_nodes(&mut self, now: Instant) {
+        let nodes: Vec<Node> = self.nodes.keys().copied().collect();
+        for node in nodes {
+            self.check_node(now, node);
+        }
+    }
+
+    /// Expires queued lines, sends health checks, reconnects, and removes the node when it is gone.
+    fn check_node(&mut self, now: Instant, node: Node) {
+        let Some(node_state) = self.nodes.get_mut(&node) else { return };
+        let has_elapsed = |since: Instant, seconds: f64| now - since > Span::from_secs(seconds);
+        if node_state.address.is_none() && node_state.listed {
+            // The node is no longer listed, so no line can reach it. A queued line must not delay the end of
+            // its sessions.
+            node_state.queued_lines.clear();
+        }
+        node_state.queued_lines.retain(|(queued_at, _)| !has_elapsed(*queued_at, QUEUED_LINE_TTL_SECONDS));
+        let reconnect_delay =
+            RECONNECT_INTERVAL_SECONDS * f64::from(1u32 << node_state.connect_failures.min(5));
+        if node_state.upstreams.is_empty()
+            && !node_state.queued_lines.is_empty()
+            && has_elapsed(node_state.last_connect_at, reconnect_delay)
+        {
+            return self.connect(now, node);
+        }
+        if node_state.playing.is_empty() {
+            let has_pending = |upstream: &Trunk| {
+                self.upstreams.get(upstream).is_some_and(|connection| !connection.pending.is_empty())
+            };
+            let unlisted = !node_state.listed && node_state.queued_lines.is_empty();
+            if (node_state.removed || unlisted)
+                && node_state.waiting_setups.is_empty()
+                && !node_state.upstreams.iter().any(has_pending)
+            {
+                let upstreams = node_state.upstreams.clone();
+                upstreams.into_iter().for_each(|upstream| self.abandon_upstream(now, upstream));
+                self.nodes.remove(&node);
+            }
+            return;
+        }
+        let should_be_listed =
+            node_state.listed || has_elapsed(node_state.last_heard_at, UNLISTED_NODE_TIMEOUT_SECONDS);
+        let unreachable = should_be_listed && node_state.upstreams.is_empty() && node_state.address.is_none();
+        if has_elapsed(node_state.last_heard_at, NODE_GONE_TIMEOUT_SECONDS) || unreachable {
+            debug!(
+                name = node_state.name,
+                standing = node_state.playing.len(),
+                "node is gone without notice; its sessions are lost"
+            );
+            let upstreams = node_state.upstreams.clone();
+            self.end_lost_sessions(now, node, now);
+            return upstreams.into_iter().for_each(|upstream| self.abandon_upstream(now, upstream));
+        }
+        let is_connected =
+            |upstream: &&Trunk| self.upstreams.get(upstream).is_some_and(|connection| connection.connected);
+        let connected = node_state.upstreams.iter().find(is_connected).copied();
+        let connecting = node_state
+            .upstreams
+            .iter()
+            .any(|upstream| self.upstreams.get(upstream).is_some_and(|connection| !connection.connected));
+        match (connected, node_state.health_check_sent_at) {
+            (Some(upstream), None) if has_elapsed(node_state.last_heard_at, QUIET_PERIOD_SECONDS) => {
+                node_state.health_check_sent_at = Some(now);
+                self.send_health_check(upstream, None);
+            }
+            (Some(_), Some(at)) if has_elapsed(at, HEALTH_CHECK_TIMEOUT_SECONDS) && !connecting => {
+                self.connect(now, node)
+            }
+            (None, _)
+                if !connecting && has_elapsed(node_state.last_connect_at, RECONNECT_INTERVAL_SECONDS) =>
+            {
+                self.connect(now, node)
+            }
+            _ => {}
+        }
+    }
+}
+
+/// Encodes the release that cancels a SETUP or ends a playing session normally.
+fn encode_release(tag: Tag) -> Option<Bytes> {
+    message::write(Verb::Finish, tag, &[], Some(causes::NORMAL_RELEASE), None)
+}
+
+/// Parses a load report: values by the names that the settings give them, such as `x0:0.12;x1:0.4`. Unknown
+/// names and malformed values are ignored.
+fn parse_load(text: &str) -> Load {
+    let mut load = Load::default();
+    for (name, value) in text.split(';').filter_map(|pair| pair.split_once(':')) {
+        let value = parse_finite(value);
+        match ashglade_site::gauge(name) {
+            Gauge::Link => load.link = value,
+            Gauge::Uplink => load.uplink = value,
+            Gauge::Streams => load.streams = value,
+            Gauge::Other => {}
+        }
+    }
+    load
+}
