--- a/crates/shared/src/judgements.rs
+++ b/crates/shared/src/judgements.rs
@@ -1,15 +1,16 @@
-//! What directors saw of media nodes.
+//! Health reports on media nodes.
 //!
-//! Each director writes down, for each node that did not do well by its own SETUPs, what it saw: a [`Judgement`] with a
-//! version. A store keeps the newest of each source and node ([`Judgements::merge`]); that is a join: commutative,
-//! associative and idempotent, so that the order, doubling and loss of messages don't matter (`tests/joins.rs`). Times go
-//! along as ages and are put on each reader's own clock, never newer than any message had it.
+//! A director issues a versioned [`HealthReport`] on each node at which its own SETUPs failed. A store keeps
+//! the newest report of each source and node ([`HealthStore::merge`]). The merge is a join (commutative,
+//! associative and idempotent), so reordering, duplication and loss of messages don't matter
+//! (`tests/health_merge.rs`). A report carries its age. The receiver converts the age to its own clock, and
+//! keeps the earliest time that any copy of the report implies.
 //!
-//! What follows for one that has seen nothing amiss itself ([`Judgements::left`]) wants sources that are independent of each
-//! other: several directors, of our own zone or of two others, that outweigh those that saw the node do well. What one
-//! source can move is bounded: it counts once however often it saw it, and one that finds fault with more of the nodes than
-//! it finds well, where others of the fleet do not, is held to be sick itself (as in Lifeguard: Dadgar and others, 2018)
-//! and counts nothing.
+//! A director that has seen no failure itself suspects a node only on reports from independent sources
+//! ([`HealthStore::suspected_nodes`]): several directors, from its own zone or from two others, that
+//! outnumber those that report the node healthy. The influence of one source is limited. It counts once,
+//! however many failures it saw, and not at all if it reports failures at more nodes alone than it shares
+//! with others: then it is considered faulty itself (as in Lifeguard: Dadgar and others, 2018).
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,70 +19,77 @@
 
 use crate::draw;
 
+/// Health of a media node, as seen by one director.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Verdict {
-    /// SETUPs are answered there.
+    /// The node answers SETUPs.
     Well,
-    /// They get an error, or the connection breaks.
+    /// SETUPs get an error, or the connection breaks.
     Failing,
-    /// They get no answer.
+    /// SETUPs get no answer.
     Silent,
 }
 
-/// One director's word on one node.
+/// One director's report on the health of one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Judgement {
+    /// Index of the reporting director.
     pub source: u16,
+    /// Id of the media node.
     pub node: u64,
-    /// Of this word among those of its source; a process begins above the one before it.
+    /// Version of the report, increasing over all reports of its source and across restarts.
     pub version: u64,
     pub verdict: Verdict,
-    /// By so many own SETUPs.
+    /// Number of the source's own SETUPs on which the report is based.
     pub setups: u16,
-    /// How long ago the last of them ended, in ms.
+    /// Time since the last of these SETUPs ended, in milliseconds.
     pub age_ms: u32,
 }
 
+/// A report as stored, without its key.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Known {
     version: u64,
     verdict: Verdict,
     setups: u16,
-    /// By our own clock.
+    /// Time when the last SETUP of the report ended, on this director's clock.
     at: Instant,
 }
 
-/// Words of one node and of one source at most: what comes beyond takes the place of the oldest.
+/// Maximum number of nodes in the store, and of nodes with counted failures. A further node replaces the one
+/// whose last report is oldest.
 const MOST_NODES: usize = 4096;
-/// Sources wanted before a node is left on others' word, where there are as many.
+/// Number of sources required to suspect a node, or half of the directors where they are fewer.
 const WITNESSES: usize = 3;
-/// A word from before this long is as good as none: nothing may be this far off.
+/// Maximum age of an accepted report, in milliseconds; an older one is of no use.
 const MOST_AGE_MS: u32 = 3_600_000;
 
+/// Store of the health reports of all directors.
 #[derive(Clone, Debug)]
 pub struct Judgements {
     me: u16,
     fade: Span,
-    /// By node and source.
+    /// Reports by node and source.
     known: BTreeMap<u64, BTreeMap<u16, Known>>,
-    /// Own SETUPs that failed in a row, by node.
+    /// Number of consecutive failures of own SETUPs, by node.
     failed: BTreeMap<u64, u16>,
     version: u64,
 }
 
 impl Judgements {
-    /// Versions begin at `first`, which is above all those of the process before.
+    /// Creates an empty store. Versions of own reports start above `first`, which must exceed the versions
+    /// used by any previous process of this director.
     pub fn new(me: usize, fade: Span, first: u64) -> Judgements {
         Judgements { me: me as u16, fade, known: BTreeMap::new(), failed: BTreeMap::new(), version: first }
     }
 
-    /// An own SETUP ended at this node; the word on it if that is news.
+    /// Records the outcome of an own SETUP at this node. Returns a report if one is to be sent to others.
     pub fn saw(&mut self, node: u64, verdict: Verdict, now: Instant) -> Option<Judgement> {
         let before = self.known.get(&node).and_then(|words| words.get(&self.me)).copied();
         let fresh = before.filter(|known| now - known.at < self.fade);
         if verdict == Verdict::Well {
             self.failed.remove(&node);
-            // Well is the usual: it is said against words that say otherwise, and once in a while then.
+            // Healthy nodes are reported only in reply to contrary reports, and then at a limited rate.
             let doubted = self.known.get(&node).is_some_and(|words| {
                 words
                     .iter()
@@ -95,7 +103,8 @@
         let failed = *failed;
         self.bound_failed();
         let said = fresh.is_some_and(|f| f.verdict != Verdict::Well && now - f.at < self.fade * 0.25);
-        // One failure is chance to one director; to a large fleet, where each tries a node seldom, it is all there is to tell.
+        // A single failure is reported: it may be chance for one director, but in a large fleet, where each
+        // director rarely tries a given node, it is all the evidence there is.
         (!said).then(|| self.say(node, verdict, failed, now))
     }
 
@@ -112,7 +121,7 @@
         word
     }
 
-    /// Takes a word in; true if it is news.
+    /// Merges a report into the store. Returns whether it is newer than the stored one.
     pub fn merge(&mut self, word: &Judgement, now: Instant) -> bool {
         if word.age_ms > MOST_AGE_MS {
             return false;
@@ -128,7 +137,8 @@
         match words.get_mut(&word.source) {
             Some(known) if known.version > new.version => false,
             Some(known) if known.version == new.version => {
-                // The same word by a slower way tells how old it is at least.
+                // Another copy of the same report: the earlier time is the closer bound on when it was
+                // issued.
                 known.at = known.at.min(new.at);
                 false
             }
@@ -143,7 +153,7 @@
         }
     }
 
-    /// Drops what has been too old for long.
+    /// Drops reports that are older than four times the time for which they are taken into account.
     pub fn forget(&mut self, now: Instant) {
         let fade = self.fade;
         self.known.retain(|_, words| {
@@ -152,15 +162,17 @@
         });
     }
 
+    /// Returns the number of stored reports.
     pub fn len(&self) -> usize {
         self.known.values().map(BTreeMap::len).sum()
     }
 
+    /// Returns whether the store holds no reports.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// All words, with their ages now.
+    /// Returns all stored reports, with their ages at `now`.
     pub fn words(&self, now: Instant) -> impl Iterator<Item = Judgement> {
         let word = move |node, source, known: &Known| Judgement {
             source,
@@ -175,7 +187,8 @@
         })
     }
 
-    /// Nodes to be tried last on others' word, with who speaks against each. `zones` is the zone of each director.
+    /// Returns the nodes to be tried last because of others' reports, each with the sources of these reports.
+    /// `zones` holds the zone of each director.
     pub fn left(&self, zones: &[u8], now: Instant) -> BTreeMap<u64, Vec<u16>> {
         let sick = self.sick(zones.len(), now);
         let kinds: BTreeSet<u8> = zones.iter().copied().collect();
@@ -187,19 +200,21 @@
                     words.iter().filter(move |(_, known)| verdict_is(known.verdict) && now - known.at < fade);
                 among.map(|(&source, _)| source).filter(|source| !sick.contains(source)).collect::<Vec<u16>>()
             };
-            // Own sight first: what answers us is not left on others' word.
+            // Own observations take precedence: a node that answers this director is not suspected.
             let own = words.get(&self.me);
             if own.is_some_and(|own| own.verdict == Verdict::Well && now - own.at < self.fade) {
                 continue;
             }
-            // Words fade at each reader at a time of its own, so that few try the node again first, and not all at once.
+            // Reports expire at each director after a different time, so that a few directors retry the node
+            // first instead of all at once.
             let late = draw(&[u64::from(self.me), node]) % 1024;
             let fade = self.fade * (1.0 + late as f64 / 1024.0);
             let against = fresh(|verdict| verdict != Verdict::Well, fade);
             let well = fresh(|verdict| verdict == Verdict::Well, self.fade);
             let of: BTreeSet<u8> =
                 against.iter().filter_map(|&s| zones.get(usize::from(s)).copied()).collect();
-            // Those of our own zone see the node by the paths that we use; of other zones two are wanted, as one may be cut off.
+            // Directors of the same zone reach the node by the same network paths. From other zones reports
+            // of two are required, as one zone may be partitioned.
             let ours = zones.get(usize::from(self.me)).is_some_and(|zone| of.contains(zone));
             let independent = against.len() >= wanted && (ours || of.len() >= kinds.len().min(2));
             if independent && against.len() > well.len() {
@@ -209,7 +224,8 @@
         left
     }
 
-    /// Sources that speak ill of more nodes than are spoken ill of by anybody else: it is their own link, clock or count.
+    /// Returns the sources that report failures alone at more nodes than they share with other sources. Their
+    /// own link, clock or counting is considered faulty.
     fn sick(&self, directors: usize, now: Instant) -> BTreeSet<u16> {
         let mut alone: BTreeMap<u16, (usize, usize)> = BTreeMap::new();
         for words in self.known.values() {
--- a/crates/shared/src/lib.rs
+++ b/crates/shared/src/lib.rs
@@ -1,13 +1,13 @@
-//! What directors share, and what holds of it while part of the fleet hears nothing.
+//! State shared by the directors of a fleet, usable during network partitions.
 //!
-//! - [`rights`]: bounds over the whole fleet, kept as rights that are held, lent by leases and given back;
-//! - [`judgements`]: what directors saw of media nodes, merged so that order, doubling and loss don't matter;
-//! - [`spread`]: how judgements get round, in messages of bounded size;
-//! - [`Member`]: one director's part in all three.
+//! - [`permits`]: enforces limits over the whole fleet with permits that are reserved, leased and released;
+//! - [`health`]: health reports on media nodes, merged so that reordering, duplication and loss don't matter;
+//! - [`gossip`]: dissemination of health reports in messages of bounded size;
+//! - [`SharedState`]: the state of one director, which combines the three.
 //!
-//! Nothing here needs messages to arrive, in order or once. What is safe rests on [`rights`] alone, whose module has the
-//! argument; judgements only ever say which node is tried last, and spreading only how soon that is known. There is no I/O,
-//! no clock and no thread in it.
+//! Nothing here relies on messages to be delivered, in order or exactly once. Safety rests on [`permits`]
+//! alone, whose module documentation has the argument. Health reports only decide which nodes are tried last,
+//! and gossip how soon they are known. The crate does no I/O, reads no clock and starts no thread.
 
 use std::hash::Hasher;
 
@@ -23,58 +23,68 @@
 pub use judgements::{Judgement, Verdict};
 pub use member::{Body, Member, View, Word};
 
-/// What a director is set up with; the same at all but for `me` and `seed`. [`Terms::digest`] goes along in each message:
-/// directors that were told otherwise pass each other's words over.
+/// Configuration of the shared state; equal at all directors but for `director_index`, `seed` and the
+/// injected fault.
+///
+/// Each message carries [`FleetConfig::digest`]. Directors ignore messages from directors with another
+/// digest.
 #[derive(Clone, Debug)]
 pub struct Terms {
+    /// Index of this director.
     pub me: usize,
-    /// By director, dead or alive: its zone.
+    /// Zone of each director, whether it is running or not.
     pub zones: Vec<u8>,
-    /// How many vote on the rights of one home at most.
+    /// Maximum number of voters on the permits of one owner.
     pub council: usize,
+    /// Duration of a lease.
     pub lease: Span,
-    /// Clocks run this part too fast or too slow at most.
+    /// Maximum rate error of a clock, as a fraction: 0.01 is 1 % too fast or too slow.
     pub drift: f64,
-    /// What must pass between two holders of a right.
+    /// Time that must pass between the use of a permit by one holder and by the next.
     pub rest: Span,
+    /// Permit pools; messages refer to them by index.
     pub pools: Vec<Pool>,
-    /// For how long a judgement on a node is believed.
+    /// Time for which a health report is taken into account.
     pub fade: Span,
-    /// Between messages that spread judgements.
+    /// Interval between gossip rounds.
     pub gossip: Span,
+    /// Seed of the choice of gossip peers.
     pub seed: u64,
-    /// Broken on purpose, to see that it is found out.
+    /// Fault for tests that check whether a broken protocol is detected.
     pub defect: Option<Defect>,
 }
 
-/// A bound over the fleet, cut into rights.
+/// A limit over the whole fleet, divided into permits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pool {
-    /// Rights of each director that are never lent.
+    /// Number of permits reserved for each director, which are never leased to others.
     pub kept: usize,
-    /// Rights of the whole fleet that go where they are needed; right `j` has director `j` modulo their number for its home.
+    /// Number of permits of the whole fleet that are leased to directors that need them. Permit `j` is owned
+    /// by director `j` modulo the number of directors.
     pub lent: usize,
-    /// Each needs all it can have, always; if not, as many as its SETUPs failed within a lease.
+    /// Whether each director always requests all permits it can get; otherwise it requests as many as its
+    /// SETUPs failed within the duration of a lease.
     pub always: bool,
 }
 
-/// What is left out of the argument for safety.
+/// A fault planted in the lease protocol, each leaving out one step of the safety argument.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// Rights are granted anew without a rest.
+    /// Permits are granted again without waiting for the guard interval.
     NoRest,
-    /// A lease is counted from when its grant came, not from when it was asked for.
+    /// A lease is counted from the arrival of the grant instead of the time of the request.
     FromAnswer,
-    /// A voter forgets what it has granted.
+    /// Voters don't record their grants, so that they grant a permit to several holders.
     Twice,
 }
 
 impl Terms {
+    /// Returns the number of directors in the fleet, running or not.
     pub fn directors(&self) -> usize {
         self.zones.len()
     }
 
-    /// A number that differs where anything differs that safety rests on.
+    /// Returns a hash of all settings on which safety depends.
     pub fn digest(&self) -> u64 {
         let mut hasher = SipHasher13::new();
         for number in [self.zones.len(), self.council, self.pools.len()] {
@@ -92,8 +102,9 @@
         hasher.finish()
     }
 
-    /// Who votes on the rights of a home: itself, then those after it, from zones that have the fewest yet. The same
-    /// wherever it is asked, as safety rests on majorities of one council sharing a voter.
+    /// Returns the voters on the permits of an owner: the owner, then the directors after it, each time the
+    /// next from a zone with the fewest voters so far. The result is the same at all directors, as safety
+    /// requires that any two majorities of the voters share one.
     pub fn council(&self, home: usize) -> Vec<usize> {
         let n = self.directors();
         let mut council = Vec::with_capacity(self.council.min(n));
@@ -107,7 +118,8 @@
     }
 }
 
-/// What the end of an own SETUP says of its node, if anything. A node that turns a set-up away does its work.
+/// Returns the health of a node as shown by the outcome of a SETUP (`None`: it succeeded), if it shows any. A
+/// node that rejects a SETUP because it is full is working.
 pub fn verdict(ended: Option<Ending>) -> Option<Verdict> {
     match ended {
         None | Some(Ending::Full) => Some(Verdict::Well),
@@ -117,7 +129,7 @@
     }
 }
 
-/// An even draw that is the same wherever it is made.
+/// Returns a uniformly distributed hash of `parts`, equal at all directors.
 fn draw(parts: &[u64]) -> u64 {
     let mut hasher = SipHasher13::new();
     parts.iter().for_each(|&part| hasher.write_u64(part));
--- a/crates/shared/src/member.rs
+++ b/crates/shared/src/member.rs
@@ -1,4 +1,4 @@
-//! One director's part: rights and judgements together, in words that are sent from one to one.
+//! The shared state of one director: permits, health reports and gossip, driven by messages between peers.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -10,33 +10,38 @@
 use crate::spread::{self, Spread};
 use crate::{Terms, draw};
 
-/// What one director says to another.
+/// A message from one director to another.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Word {
+    /// Index of the sending director.
     pub from: u16,
+    /// Index of the receiving director.
     pub to: u16,
-    /// [`Terms::digest`] of the one that says it.
+    /// [`FleetConfig::digest`] of the sender.
     pub terms: u64,
     pub body: Body,
 }
 
+/// Content of a message between directors.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Body {
     Rights(rights::Message),
     Spread(spread::Message),
 }
 
-/// What is believed just now, and what may be used.
+/// What a director may use and what it knows at one point in time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct View {
-    /// By pool.
+    /// Permits that may be used, by pool.
     pub held: Vec<Held>,
-    /// Nodes that are tried last on others' word, with who speaks against each.
+    /// Nodes to be tried last because of others' reports, each with the sources of these reports.
     pub left: BTreeMap<u64, Vec<u16>>,
-    /// Directors heard of within a lease, ourselves among them.
+    /// Directors from which a message arrived within the duration of a lease, and this director itself.
     pub heard: BTreeSet<usize>,
 }
 
+/// The shared state as one director has it. The caller delivers messages, sends those returned, and passes
+/// the time.
 #[derive(Clone, Debug)]
 pub struct Member {
     terms: Terms,
@@ -45,17 +50,18 @@
     known: Judgements,
     spread: Spread,
     heard: BTreeMap<usize, Instant>,
-    /// When own SETUPs failed, within a lease: each may want a further one.
+    /// Times of own failed SETUPs within the duration of a lease; each may need a permit for a further
+    /// attempt.
     failures: VecDeque<Instant>,
-    /// Words of directors that were set up otherwise.
+    /// Number of messages ignored because their sender has another configuration.
     pub other_terms: u64,
 }
 
-/// Failures that are remembered at most: no more rights than these are needed.
+/// Maximum number of failures kept, which also limits the number of permits requested for them.
 const MOST_FAILURES: usize = 1024;
 
 impl Member {
-    /// `process` is above that of the process before.
+    /// Starts a director's state. `process` must exceed that of every previous process of this director.
     pub fn start(terms: Terms, process: u64, now: Instant) -> Member {
         let first = process << 20;
         Member {
@@ -70,7 +76,7 @@
         }
     }
 
-    /// An own SETUP ended at this node.
+    /// Records the outcome of an own SETUP at this node.
     pub fn saw(&mut self, node: u64, verdict: Verdict, now: Instant) {
         if verdict != Verdict::Well && self.failures.len() < MOST_FAILURES {
             self.failures.push_back(now);
@@ -80,6 +86,7 @@
         }
     }
 
+    /// Runs all periodic work that is due. Returns the messages to send.
     pub fn tick(&mut self, now: Instant) -> Vec<Word> {
         self.known.forget(now);
         while self.failures.front().is_some_and(|&at| now - at >= self.terms.lease) {
@@ -100,7 +107,7 @@
         out.into_iter().map(|(to, body)| Word { from, to: to as u16, terms, body }).collect()
     }
 
-    /// A word came from the address of the director that it names.
+    /// Processes a message, whose sender the caller has authenticated. Returns the replies.
     pub fn take(&mut self, word: &Word, now: Instant) -> Vec<Word> {
         let from = usize::from(word.from);
         if usize::from(word.to) != self.terms.me || from >= self.terms.directors() || from == self.terms.me {
@@ -124,7 +131,8 @@
         self.say(out)
     }
 
-    /// What may be used until `early` from now at the least, and what is believed.
+    /// Returns the permits that may be used from now for at least `early`, and what is known of nodes and
+    /// peers.
     pub fn view(&self, now: Instant, early: Span) -> View {
         let held = (0..self.terms.pools.len()).map(|pool| self.rights.held(pool, now + early)).collect();
         let there = |at: &Instant| now - *at < self.terms.lease;
@@ -134,7 +142,7 @@
         View { held, left: self.known.left(&self.terms.zones, now), heard }
     }
 
-    /// All that is held of media nodes, for who wants to look.
+    /// Returns all stored health reports, with their ages at `now`.
     pub fn words(&self, now: Instant) -> impl Iterator<Item = Judgement> {
         self.known.words(now)
     }
--- a/crates/shared/src/rights.rs
+++ b/crates/shared/src/rights.rs
@@ -1,23 +1,34 @@
-//! Bounds over the whole fleet, kept as rights that are held.
+//! Enforces limits over the whole fleet of directors with permits that are leased under quorum votes.
 //!
-//! A bound is cut into rights ([`Pool`]): some are each director's for good, whatever is heard of whom; the others have a home
-//! and go by lease to whoever needs them, their home first. Whoever holds a right may do what one right allows; nobody ever
-//! reads a sum and acts on it.
+//! A limit is divided into permits ([`PermitPool`]). Some are reserved for each director and never change
+//! hands, so they stay usable during a network partition. The others have an owner and are leased to
+//! whichever director needs them, to the owner first. The holder of a permit may do what one permit allows;
+//! no director acts on a sum that it has read.
 //!
-//! **Why two never use one right.** Each home has a council ([`Terms::council`]). A voter grants a right to one holder at a
-//! time: until a grant has run out by its own clock, with the drift that clocks may have and a rest added, it grants it to
-//! nobody else, and one that has just started grants nothing for as long, as a process before it may have. A holder counts a
-//! grant from when it *asked*, and for the lease less the drift, and holds a right while more than half of the council's
-//! grants count. So by true time every holder has stopped at the latest when the lease is over, and no voter of its majority
-//! grants anew before the rest has passed as well; two majorities of one council share a voter. A holder that gives a right
-//! back has stopped using it before it says so; a voter that hears it grants anew after the rest, and grants that were asked for
-//! before count no longer. The rest is the span in which nodes count: what one holder sent in its last moment and what the
-//! next sends in its first don't meet in one span.
+//! **Safety: a permit is never used by two directors at once.**
 //!
-//! Messages may be lost, late, doubled and out of order, and directors may stop, restart and be held for dead: that costs
-//! rights their use, never their bound. (Leases: Gray and Cheriton, 1989; majorities: Lamport, 1998; rights that are held in
-//! place of sums that are read: O'Neil, 1986, and Balegas and others, 2015.) `tests/interleavings.rs` searches for a
-//! counterexample, and finds one for each [`Defect`].
+//! - Each owner has a fixed set of voters ([`FleetConfig::voters`]). A voter grants a permit to one holder at
+//!   a time. It grants the permit to nobody else until the lease and the guard interval have passed on its
+//!   own clock, extended by the maximum clock drift. A voter that has just started grants nothing for the
+//!   same time, as the previous process of this director may have granted any permit.
+//! - A holder counts a grant from the time when it sent the *request*, for the lease shortened by the maximum
+//!   clock drift. It holds a permit while a majority of the owner's voters has granted it.
+//! - In true time, therefore, every holder has stopped using the permit when the lease ends, and no voter of
+//!   its majority grants the permit again before the guard interval has passed as well. Two majorities of the
+//!   same voters share a voter (quorum intersection), so no second holder can gather a majority earlier.
+//! - A holder that releases a permit stops using it before it sends the release. A voter that receives the
+//!   release grants the permit again after the guard interval. The holder ignores grants for requests sent up
+//!   to the release.
+//! - The guard interval covers the window over which media nodes count. What one holder sends last and what
+//!   the next holder sends first do not fall into the same window.
+//!
+//! Messages may be lost, delayed, duplicated and reordered, and directors may stop, restart and be wrongly
+//! considered dead. Such faults leave permits unused; they never exceed the limit.
+//!
+//! References: leases, Gray and Cheriton, 1989; majorities, Lamport, 1998; permits held in place of sums that
+//! are read, O'Neil, 1986 (escrow), and Balegas and others, 2015. `tests/interleavings.rs` and
+//! `tests/random_simulations.rs` search for a counterexample. They find none in the protocol as it is, and
+//! one for each [`InjectedFault`].
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -28,95 +39,103 @@
 use crate::Pool;
 use crate::{Defect, Terms, draw};
 
-/// A right that may be lent, by its pool and its number there.
+/// A permit that can be leased, identified by its pool and its number within the pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Right {
     pub pool: u8,
     pub number: u32,
 }
 
-/// What is said about rights.
+/// A message of the lease protocol between a holder and a voter.
+///
+/// `process_id` identifies the holder's process, and `round` the request round of that process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// Wants these, or renews them; and asks what there is at these homes.
+    /// Holder to voter: requests or renews leases on `permits`, and queries the free permits of the owners in
+    /// `query`.
     Ask { process: u64, number: u64, rights: Vec<Right>, look: Vec<u16> },
-    /// Of those asked for by that number, these are granted. As far as this voter knows those others are free.
+    /// Voter to holder: grants `permits` of the request of that round. As far as this voter knows, those in
+    /// `free` are available.
     Grant { process: u64, number: u64, rights: Vec<Right>, free: Vec<Right> },
-    /// Uses these no longer, whatever was asked for up to that number.
+    /// Holder to voter: the holder no longer uses `permits`, whatever it requested in rounds up to this one.
     Back { process: u64, number: u64, rights: Vec<Right> },
 }
 
-/// A lease is renewed so often in its time; so many asks are remembered.
+/// Number of request rounds within the duration of a lease.
 const RENEWALS: f64 = 3.0;
+/// Number of recent request rounds whose grants are accepted.
 const REMEMBERED: usize = 4;
-/// A right that others hold is tried for, for so many asks.
+/// Number of rounds for which a permit that others may hold is requested before it is given up.
 const TRIES: u32 = 2;
-/// Homes looked at in one ask for each pool of which more is needed, and free rights told of in one answer.
+/// Number of owners whose free permits are queried in a round, for each pool that needs more permits.
 const LOOKS: usize = 2;
+/// Maximum number of free permits reported in one reply.
 const MOST_FREE: usize = 32;
-/// Rights in one message at most; what is beyond is asked for by the next.
+/// Maximum number of permits in one message. Further permits are requested in the next rounds.
 pub const MOST_RIGHTS: usize = 256;
 
-/// A grant that was given, as its voter knows it.
+/// A grant as recorded by the voter that gave it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Given {
     to: usize,
-    /// Of which of its processes: one that starts again doesn't know what it held.
+    /// Process of the holder; after a restart a director doesn't know what it held.
     process: u64,
     number: u64,
-    /// Nobody else gets it before.
+    /// Time before which this voter grants the permit to no other holder.
     until: Instant,
 }
 
-/// What a holder knows of a right that it wants.
+/// A permit that this director requests or holds.
 #[derive(Clone, Debug, Default)]
 struct Wanted {
-    /// By voter: until when its grant counts.
+    /// Voters that granted the permit, each with the end of its grant.
     votes: Vec<(usize, Instant)>,
-    /// Asked for so often without being held.
+    /// Number of request rounds since the permit was last held.
     tries: u32,
 }
 
+/// The lease protocol of one director, as holder and as voter.
 #[derive(Clone, Debug)]
 pub struct Rights {
     terms: Terms,
-    /// By home, as it is asked for often.
+    /// Voters by owner, computed once because they are looked up often.
     councils: Vec<Vec<usize>>,
-    /// Differs from process to process of one director.
+    /// Identifies this process among all processes of this director.
     process: u64,
-    /// Grants nothing before: a process before this one may have.
+    /// Time before which this voter grants nothing, as a previous process may have granted any permit.
     votes_from: Instant,
     given: BTreeMap<Right, Given>,
-    /// By home: when it last asked, by which number, and for what of its own.
+    /// By owner: time and round of its last request, and the permits of its own that it requested.
     homes: BTreeMap<usize, (Instant, u64, BTreeSet<Right>)>,
-    /// By home: who looked for more there, and when.
+    /// By owner: the directors that queried its free permits, and when.
     lookers: BTreeMap<usize, BTreeMap<usize, Instant>>,
     wanted: BTreeMap<Right, Wanted>,
-    /// Grants for asks up to this number count no longer.
+    /// Released permits with the round up to which grants are ignored.
     void: BTreeMap<Right, u64>,
-    /// Given back and not yet said so.
+    /// Permits that are no longer used and whose release has not been sent.
     backs: Vec<Right>,
-    /// Told of as free by the last answers.
+    /// Permits reported as free since the last request round.
     free: BTreeSet<Right>,
-    /// Numbers of what was asked, with when; the last few.
+    /// The last request rounds, each with the time of its request.
     asked: Vec<(u64, Instant)>,
     number: u64,
     next: Instant,
-    /// By pool: how many are needed in all, over those that are kept.
+    /// By pool: number of permits needed beyond the reserved ones.
     need: Vec<usize>,
 }
 
-/// What is held of a pool.
+/// The permits of one pool that a director may use.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Held {
-    /// Numbers over the whole pool: those kept by directors first, then those that are lent.
+    /// Numbers within the whole pool, counting the reserved permits of all directors first, then the leasable
+    /// ones.
     pub rights: Vec<usize>,
-    /// When the first of those that are lent runs out, if there is one.
+    /// Earliest end of the leases; `None` if only reserved permits are held.
     pub until: Option<Instant>,
 }
 
 impl Rights {
-    /// `process` differs from that of the process before.
+    /// Starts without leases. `process_id` must differ from that of every previous process of this director.
     pub fn start(terms: Terms, process: u64, now: Instant) -> Rights {
         let councils = (0..terms.directors()).map(|home| terms.council(home)).collect();
         Rights {
@@ -138,13 +157,14 @@
         }
     }
 
-    /// So many rights of this pool are needed, over those that are kept.
+    /// Sets the number of permits of this pool that are needed beyond the reserved ones.
     pub fn need(&mut self, pool: usize, count: usize) {
         if let Some(need) = self.need.get_mut(pool) {
             *need = count;
         }
     }
 
+    /// Returns the permits of this pool that may be used at `now`.
     pub fn held(&self, pool: usize, now: Instant) -> Held {
         let Some(terms) = self.terms.pools.get(pool) else { return Held::default() };
         let me = self.terms.me;
@@ -159,12 +179,12 @@
         held
     }
 
-    /// Until when it is held, if it is.
+    /// Returns the time until which the permit is held, or `None` if it is not held at `now`.
     fn holds(&self, right: &Right, wanted: &Wanted, now: Instant) -> Option<Instant> {
         let mut votes: Vec<Instant> = wanted.votes.iter().map(|v| v.1).filter(|&until| now < until).collect();
         let majority = self.councils[self.home(right)].len() / 2 + 1;
         votes.sort_unstable();
-        // The majority is there until the first of its last votes runs out.
+        // The majority lasts until the earliest end among the `majority` grants that end last.
         votes.len().checked_sub(majority).map(|at| votes[at])
     }
 
@@ -172,7 +192,7 @@
         right.number as usize % self.terms.directors()
     }
 
-    /// Asks for what is needed, if it is time to; to whom, and what.
+    /// Starts a request round if one is due. Returns the messages to send, each with its recipient.
     pub fn tick(&mut self, now: Instant) -> Vec<(usize, Message)> {
         if now < self.next {
             return Vec::new();
@@ -204,7 +224,7 @@
                 rights.truncate(MOST_RIGHTS);
             }
             if voter == self.terms.me {
-                // Its own vote needs no message.
+                // A director's own vote needs no message.
                 let (granted, free) = self.vote(voter, process, number, &rights, &look, now);
                 self.count(voter, number, &granted, now);
                 self.free.extend(free);
@@ -215,7 +235,8 @@
         out
     }
 
-    /// Says which rights were given back at the last look, when no one here uses them any longer.
+    /// Returns the release messages for the permits given up in the previous round; this director has stopped
+    /// using them since.
     fn give_back(&mut self, now: Instant) -> Vec<(usize, Message)> {
         let mut told: BTreeMap<usize, Vec<Right>> = BTreeMap::new();
         let now_free = std::mem::take(&mut self.backs);
@@ -238,7 +259,7 @@
         out
     }
 
-    /// Settles what is wanted from now on, and at which homes to look for more.
+    /// Chooses the permits to request from now on. Returns the owners whose free permits are to be queried.
     fn choose(&mut self, now: Instant) -> Vec<usize> {
         let free = std::mem::take(&mut self.free);
         let mut look = BTreeSet::new();
@@ -247,7 +268,8 @@
             let lent = self.terms.pools[pool].lent;
             let mine = (me..lent).step_by(n).map(|number| Right { pool: pool as u8, number: number as u32 });
             let mine: BTreeSet<Right> = mine.take(need).collect();
-            // What is held and no longer needed goes back, that of others first; so does what was tried for in vain.
+            // Permits that are held and no longer needed are released, those of other owners first, and so
+            // are permits that were requested without success.
             let mut room = need.saturating_sub(mine.len());
             let of_pool: Vec<Right> =
                 self.wanted.keys().filter(|r| usize::from(r.pool) == pool).copied().collect();
@@ -263,7 +285,8 @@
                     room -= 1;
                 }
             }
-            // Each starts elsewhere among what is free, so that not all try for the same.
+            // Each director orders the free permits differently, so that they don't all request the same
+            // ones.
             let mut fresh: Vec<Right> = free
                 .iter()
                 .filter(|r| {
@@ -285,13 +308,13 @@
         for (right, wanted) in &mut self.wanted {
             wanted.tries = if held.contains(right) { 0 } else { wanted.tries.saturating_add(1) };
         }
-        // A grant for an ask that is no longer remembered counts for nothing by itself.
+        // A grant for a round that is no longer kept is ignored anyway.
         let oldest = self.asked.first().map_or(0, |&(number, _)| number);
         self.void.retain(|_, &mut number| number >= oldest);
         look.into_iter().collect()
     }
 
-    /// A message came; what is to be answered. What is not well-formed by its numbers is passed over.
+    /// Processes a message and returns the reply, if there is one. Ignores numbers that are out of range.
     pub fn take(&mut self, from: usize, message: &Message, now: Instant) -> Option<(usize, Message)> {
         if from >= self.terms.directors() || from == self.terms.me {
             return None;
@@ -322,7 +345,7 @@
         pool.is_some_and(|pool| (right.number as usize) < pool.lent)
     }
 
-    /// Grants what may be granted, and tells what else is free.
+    /// Votes on a request. Returns the granted permits, and the free permits of the queried owners.
     fn vote(
         &mut self,
         to: usize,
@@ -378,7 +401,7 @@
             return false;
         }
         let home = self.home(right);
-        // A home that wants its own goes before those that would use it in its place.
+        // An owner that requests its own permit takes precedence over others.
         let asked = self.homes.get(&home);
         let wants = asked.is_some_and(|(at, _, own)| now - *at < self.terms.lease && own.contains(right));
         let ours = |g: &Given| (g.to, g.process) == (to, process);
@@ -388,8 +411,9 @@
         self.councils[home].contains(&self.terms.me) && (home == to || !wants) && free && first
     }
 
-    /// Of several that look for more at this home one comes first, the same at all voters: votes that are split among
-    /// them would serve nobody.
+    /// Returns whether `holder` takes precedence among the directors that query this owner. The order is the
+    /// same at all voters, because with votes split among several directors none of them would get a
+    /// majority.
     fn prefers(&self, right: &Right, home: usize, to: usize, now: Instant) -> bool {
         let rank = |director: usize| draw(&[u64::from(right.pool), u64::from(right.number), director as u64]);
         let lookers = self.lookers.get(&home);
@@ -397,7 +421,7 @@
         lookers.is_none_or(|all| all.iter().filter(recent).all(|(&other, _)| rank(other) <= rank(to)))
     }
 
-    /// They are in use no longer; after a rest they may be granted anew.
+    /// Records a release: the permits may be granted again after the guard interval.
     fn back(&mut self, from: usize, process: u64, number: u64, rights: &[Right], now: Instant) {
         let until = now + rest(&self.terms) * (1.0 + self.terms.drift);
         for right in rights.iter().take(MOST_RIGHTS) {
@@ -406,14 +430,14 @@
                 && given.number <= number
             {
                 given.until = given.until.min(until);
-                // Nor does its process get it by an ask from before.
+                // Until then a delayed request of the same process doesn't get the permit either.
                 given.process = 0;
             }
         }
     }
 
-    /// A voter granted what was asked by that number: from when it was asked, by our clock, and for less than the voter
-    /// goes by.
+    /// Records a voter's grant for a request of that round. The grant counts from the time of the request on
+    /// this director's clock, and for less time than the voter reserves it.
     fn count(&mut self, voter: usize, number: u64, rights: &[Right], now: Instant) {
         let Some(&(_, at)) = self.asked.iter().find(|(known, _)| *known == number) else { return };
         let at = if self.terms.defect == Some(Defect::FromAnswer) { now } else { at };
@@ -437,7 +461,8 @@
     if terms.defect == Some(Defect::NoRest) { Span::ZERO } else { terms.rest }
 }
 
-/// For how long a voter keeps to a grant, by its own clock: the lease in true time, however fast that runs, and the rest.
+/// Returns the time for which a voter reserves a permit after granting it: on its own clock, however fast
+/// that runs, this covers the lease and the guard interval in true time.
 fn guard(terms: &Terms) -> Span {
     (terms.lease + rest(terms)) * (1.0 + terms.drift)
 }
--- a/crates/shared/src/spread.rs
+++ b/crates/shared/src/spread.rs
@@ -1,6 +1,10 @@
-//! How judgements get round: pushed to a few peers a round while they are news, as often as the log of the fleet asks for
-//! (the rumours of Demers and others, 1987, as SWIM carries them), and mended by digests, which tell a peer what one holds of
-//! some sources so that it sends what is missing. Messages are bounded, the least told first; what doesn't fit waits.
+//! Gossip of health reports between directors.
+//!
+//! New reports are pushed to a few random peers in each round, a number of times that grows with the
+//! logarithm of the fleet size (rumor mongering of Demers and others, 1987, as used by SWIM). Losses are
+//! repaired by anti-entropy: digests tell a peer which reports of some sources the sender has, and the peer
+//! replies with the missing ones. Messages are of bounded size. The reports sent the fewest times go first,
+//! and the others wait.
 
 use std::collections::BTreeMap;
 use std::hash::Hasher;
@@ -11,28 +15,30 @@
 
 use crate::judgements::{Judgement, Judgements};
 
-/// Words in one message at most, and sources of one digest.
+/// Maximum number of reports in one message.
 pub const MOST_WORDS: usize = 24;
+/// Maximum number of sources covered by one digest.
 pub const MOST_SOURCES: usize = 48;
-/// Peers told in a round, and rounds between digests.
+/// Number of peers that are sent new reports in a round.
 const PEERS: usize = 2;
+/// Number of rounds from one digest to the next.
 const DIGEST_EVERY: u64 = 5;
-/// A word is told so many times the log of the fleet.
+/// Number of times that a report is sent, per binary logarithm of the fleet size.
 const TOLD: f64 = 2.0;
-/// Answers to one digest at most.
+/// Maximum number of messages with reports in reply to one digest.
 const MOST_ANSWERS: usize = 4;
 
+/// A message of the gossip protocol.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
+    /// Health reports, at most [`MAX_REPORTS_PER_MESSAGE`].
     Words(Vec<Judgement>),
-    /// Of these sources in a row, from the first: a hash of what is held of each; 0 for nothing.
-    Digest {
-        first: u16,
-        hashes: Vec<u32>,
-        answer: bool,
-    },
+    /// Hashes of the sender's reports, one for each source from `first_source` on; 0 if it has none of that
+    /// source. `is_reply` marks a digest sent in reply to a digest, which gets no digest in turn.
+    Digest { first: u16, hashes: Vec<u32>, answer: bool },
 }
 
+/// Gossip protocol of one director.
 #[derive(Clone, Debug)]
 pub struct Spread {
     me: usize,
@@ -40,18 +46,20 @@
     every: Span,
     next: Instant,
     rounds: u64,
-    /// What is still news: by source and node, how often it was told.
+    /// Number of transmissions so far of the reports that are still being pushed, by source and node.
     news: BTreeMap<(u16, u64), u32>,
     random: oorandom::Rand64,
 }
 
 impl Spread {
+    /// Starts with nothing to send. `every` is the interval between rounds; `seed` selects the sequence of
+    /// peers.
     pub fn new(me: usize, directors: usize, every: Span, seed: u64, now: Instant) -> Spread {
         let random = oorandom::Rand64::new(u128::from(seed) << 16 | me as u128);
         Spread { me, directors, every, next: now, rounds: 0, news: BTreeMap::new(), random }
     }
 
-    /// This is to be told on.
+    /// Schedules a new report for transmission to peers.
     pub fn news(&mut self, word: &Judgement) {
         self.news.insert((word.source, word.node), 0);
     }
@@ -61,6 +69,7 @@
         if other >= self.me { other + 1 } else { other }
     }
 
+    /// Runs a round if one is due. Returns the messages to send, each with its recipient.
     pub fn tick(&mut self, known: &Judgements, now: Instant) -> Vec<(usize, Message)> {
         if now < self.next || self.directors < 2 {
             return Vec::new();
@@ -75,7 +84,7 @@
             }
         }
         if self.rounds.is_multiple_of(DIGEST_EVERY) {
-            // The first of a process looks at all by and by, from a place of its own.
+            // Successive digests cover all sources in turn, from a different start at each director.
             let slices = self.directors.div_ceil(MOST_SOURCES) as u64;
             let slice = (self.rounds / DIGEST_EVERY + self.me as u64) % slices;
             let digest = self.digest(known, slice as usize * MOST_SOURCES, false, now);
@@ -84,7 +93,7 @@
         out
     }
 
-    /// The news told least, as much as a message takes.
+    /// Returns the pending reports that were sent the fewest times, as many as fit in a message.
     fn words(&mut self, known: &Judgements, now: Instant) -> Vec<Judgement> {
         if self.news.is_empty() {
             return Vec::new();
@@ -114,7 +123,7 @@
         Message::Digest { first: first as u16, hashes, answer }
     }
 
-    /// A message came; what is to be answered.
+    /// Processes a message from a peer. Returns the replies, each with its recipient.
     pub fn take(
         &mut self,
         from: usize,
@@ -125,7 +134,7 @@
         match message {
             Message::Words(words) => {
                 for word in words.iter().take(MOST_WORDS) {
-                    // Nobody else knows better what we saw.
+                    // This director is the authority on its own reports.
                     let ours = usize::from(word.source) == self.me;
                     if !ours && usize::from(word.source) < self.directors && known.merge(word, now) {
                         self.news(word);
@@ -160,7 +169,7 @@
     }
 }
 
-/// Hashes of what is held of sources in a row, 0 where that is nothing.
+/// Returns a hash of the stored reports of each of `many` sources from `first` on, 0 where there are none.
 fn hashes(known: &Judgements, first: usize, many: usize, now: Instant) -> Vec<u32> {
     let mut hashes = vec![0u32; many];
     for word in known.words(now) {
@@ -170,7 +179,7 @@
         let mut hasher = SipHasher13::new();
         hasher.write_u64(word.node);
         hasher.write_u64(word.version);
-        // In any order the same.
+        // XOR makes the result independent of the order.
         *hash ^= (hasher.finish() as u32).max(1);
     }
     hashes
