--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,34 +1,37 @@
-//! The engine's time from the machine's. The wall clock is read once, at start: directors take turns at cold nodes
-//! by the clock, so theirs must agree; from then on only the monotonic clock counts, so that no step of the wall
-//! clock reaches a timer.
+//! Clock of the engine. The wall clock is read once, at start: directors take turns at nodes in slow start by
+//! time of day, so their clocks must agree. From then on only the monotonic clock is used, so that a step of
+//! the wall clock affects no timer.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use ashglade::time::{Instant, Span};
 
+/// Monotonic clock that starts at the wall-clock time of its creation.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: tokio::time::Instant,
-    /// Milliseconds since 1970 at the start.
+    /// Unix time at the start, in milliseconds.
     epoch_ms: f64,
 }
 
 impl Clock {
+    /// Creates a clock that shows the current wall-clock time.
     pub fn start() -> Clock {
         let epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
         Clock { started: tokio::time::Instant::now(), epoch_ms: epoch.as_secs_f64() * 1e3 }
     }
 
+    /// Returns the current time of the engine.
     pub fn now(&self) -> Instant {
         Instant::from_ms(self.epoch_ms + self.started.elapsed().as_secs_f64() * 1e3)
     }
 
-    /// Microseconds since the start.
+    /// Returns the time since the start, in microseconds.
     pub fn micros(&self) -> u64 {
         self.started.elapsed().as_micros() as u64
     }
 
-    /// The engine's point in time on the machine's clock; what has passed is now.
+    /// Converts an engine time to tokio's clock. Times before the start become the start.
     pub fn at(&self, at: Instant) -> tokio::time::Instant {
         let after: Span = at - Instant::from_ms(self.epoch_ms);
         self.started + Duration::from_secs_f64((after.as_ms() / 1e3).clamp(0.0, 1e9))
--- a/crates/peer-transport/src/codec.rs
+++ b/crates/peer-transport/src/codec.rs
@@ -1,51 +1,58 @@
-//! A datagram: a version, a signature (HMAC-SHA-256, its first 16 bytes) and the words, in postcard's format.
+//! Datagram format: a version byte, a message authentication code (the first 16 bytes of an HMAC-SHA-256 over
+//! the version and the payload), and the payload, encoded by postcard.
 
 use ashglade_shared::Word;
 use hmac::{Hmac, Mac};
 use serde::{Deserialize, Serialize};
 use sha2::Sha256;
 
-/// Of the format; a datagram of another is passed over whole.
+/// Format version; datagrams of any other version are discarded.
 const VERSION: u8 = 2;
 const SIGNATURE: usize = 16;
-/// A datagram is at most so long.
+/// Maximum size of a datagram, in bytes.
 pub const MOST: usize = 8 * 1024;
 
+/// Payload of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// Of the process that says it, above that of the process before; and the datagram's number within it.
+    /// Number of the sending process, higher than that of every previous process of the same director.
     pub process: u64,
+    /// Sequence number of the datagram within its process.
     pub number: u64,
     pub word: Word,
 }
 
-/// Why a datagram is passed over.
+/// Why a datagram is discarded. The variant names appear in the status view and the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub enum Passed {
-    /// Longer than any of ours.
+    /// Longer than [`MAX_DATAGRAM_BYTES`].
     TooLong,
-    /// Of another version of the format.
+    /// The format version is another one.
     Version,
-    /// Not signed with our secret, or changed on its way.
+    /// The authentication code does not match: another secret, or altered or truncated data.
     Forged,
-    /// Signed, and not what is said in this version.
+    /// The payload is authentic but cannot be decoded.
     Malformed,
-    /// From another address than its sender's, or not for us.
+    /// It comes from another address than its sender's, or is meant for another director.
     Stranger,
-    /// Told before, or of a process that was followed by another.
+    /// It was received before, is older than the replay window, or is from a process that has been replaced
+    /// by a newer one.
     Replayed,
 }
 
+/// Encodes and authenticates datagrams with a shared secret.
 #[derive(Clone)]
 pub struct Codec {
     key: Hmac<Sha256>,
 }
 
 impl Codec {
+    /// Returns `None` if the secret cannot be used as a key.
     pub fn new(secret: &str) -> Option<Codec> {
         Some(Codec { key: Hmac::new_from_slice(secret.as_bytes()).ok()? })
     }
 
+    /// Returns the bytes to send, or `None` if they would exceed [`MAX_DATAGRAM_BYTES`].
     pub fn write(&self, datagram: &Datagram) -> Option<Vec<u8>> {
         let body = postcard::to_allocvec(datagram).ok()?;
         let mut bytes = vec![VERSION];
@@ -61,6 +68,7 @@
         mac
     }
 
+    /// Checks and decodes a received datagram.
     pub fn read(&self, bytes: &[u8]) -> Result<Datagram, Passed> {
         if bytes.len() > MOST {
             return Err(Passed::TooLong);
--- a/crates/peer-transport/src/guard.rs
+++ b/crates/peer-transport/src/guard.rs
@@ -1,24 +1,28 @@
-//! What was told before is not taken again: by sender, the process that speaks and a window over its numbers (as IPsec's,
-//! RFC 4303, 3.4.3). Reordering within the window is let through.
+//! Replay protection. For each sender it keeps the current process and a sliding window over the sequence
+//! numbers (as IPsec does: RFC 4303, 3.4.3). Datagrams reordered within the window are accepted.
 
 use ashglade::time::{Instant, Span};
 
+/// Number of sequence numbers covered by the window.
 const WINDOW: u64 = 64;
 
+/// What was received from one sender.
 #[derive(Clone, Copy, Debug)]
 struct Heard {
     process: u64,
     highest: u64,
-    /// Bit `k` is set if `highest - k` was heard.
+    /// Bit `k` is set if `highest - k` was received.
     window: u64,
+    /// Time when the last datagram was accepted.
     at: Instant,
 }
 
-/// By director.
+/// Replay windows of all senders, by director index.
 #[derive(Clone, Debug)]
 pub struct Guard {
     heard: Vec<Option<Heard>>,
-    /// A process with a lower number than the one before is believed after so long a silence: its clock was set back.
+    /// Time without datagrams after which a process with a lower number than the current one is accepted: the
+    /// sender's clock was set back.
     silence: Span,
 }
 
@@ -27,7 +31,7 @@
         Guard { heard: vec![None; directors], silence }
     }
 
-    /// True if this is new.
+    /// Returns whether this datagram is new, and records it.
     pub fn is_new(&mut self, from: usize, process: u64, number: u64, now: Instant) -> bool {
         let Some(slot) = self.heard.get_mut(from) else { return false };
         let fresh = Heard { process, highest: number, window: 1, at: now };
--- a/crates/peer-transport/src/lib.rs
+++ b/crates/peer-transport/src/lib.rs
@@ -1,6 +1,8 @@
-//! What directors tell each other, on sockets: the shell around `ashglade_shared`, which decides what is said and what
-//! follows. Each datagram is signed, bounded and counted; what is forged, cut, told twice, of another version or from another
-//! address than its sender's is passed over.
+//! UDP transport between directors. It carries the messages of `ashglade_shared`, which decides on their
+//! content, and passes the resulting limits and suspected nodes to the engine.
+//!
+//! Each datagram is authenticated, of bounded size and numbered. Datagrams that are forged, truncated,
+//! replayed, of another format version or from another address than their sender's are discarded.
 
 pub mod codec;
 pub mod guard;
--- a/crates/peer-transport/src/run.rs
+++ b/crates/peer-transport/src/run.rs
@@ -1,4 +1,4 @@
-//! The task that talks: a socket, a clock and the state.
+//! The transport task, which connects the shared state to a socket, a clock and the engine.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -18,31 +18,32 @@
 use crate::terms::{LOOK, REPEATS};
 use crate::view::{Seen, View};
 
-/// The engine, as far as it is told what is shared.
+/// Receives the inputs that the transport produces for the engine.
 pub trait Engine: Send + Sync + 'static {
     fn tell(&self, input: Input) -> impl Future<Output = ()> + Send;
 }
 
-/// What the task is started with.
+/// Resources and limits of the transport task.
 pub struct Started {
     pub socket: UdpSocket,
     pub terms: Terms,
-    /// By director, our own among them.
+    /// Addresses of all directors, by index; this director's own is among them.
     pub peers: Vec<SocketAddr>,
     pub codec: Codec,
     pub clock: Clock,
-    /// What came of our SETUPs.
+    /// Results of this director's SETUPs.
     pub seen: mpsc::Receiver<Outcome>,
-    /// Bytes a second that are said at most.
+    /// Maximum number of bytes sent per second.
     pub most_bytes: f64,
-    /// The span in which a node's further SETUPs are counted.
+    /// Window over which further SETUPs at a node are counted; `None` if directors share no limit on them.
     pub repeats_span: Option<Span>,
-    /// Where the view is written once a second.
+    /// File to which the status is written once a second.
     pub view: Option<PathBuf>,
 }
 
 impl Started {
-    /// As settings have it; none where they name no others or the secret can't be used.
+    /// Builds the transport from the settings. Returns `None` if they name no other directors or the secret
+    /// cannot be used.
     pub fn new(
         settings: &Settings,
         socket: UdpSocket,
@@ -74,18 +75,21 @@
     guard: Guard,
     process: u64,
     number: u64,
-    /// Bytes that may be said now.
+    /// Token bucket of the rate limit: bytes that may be sent now, and the time of the last refill.
     room: f64,
     filled: Instant,
+    /// Time when the status file was last written.
     shown: Instant,
     view: View,
     teller: Teller,
 }
 
-/// Talks for as long as the director runs, and tells the engine what of it concerns decisions.
+/// Exchanges messages with the other directors for as long as the director runs, and passes changes to the
+/// engine.
 pub async fn run<E: Engine>(with: Started, engine: E) {
     let now = with.clock.now();
-    // Above that of the process before, as long as the machine's clock is not set back.
+    // Start time in milliseconds: higher than that of the previous process unless the machine's clock was set
+    // back.
     let process = now.as_ms().max(1.0) as u64;
     let (directors, me) = (with.terms.directors(), with.terms.me);
     let mut talk = Talk {
@@ -109,7 +113,7 @@
             _ = tick.tick() => talk.member.tick(talk.with.clock.now()),
             received = talk.with.socket.recv_from(&mut bytes) => match received {
                 Ok((size, from)) => talk.heard(&bytes[..size], from),
-                // As when a peer's port is closed: it is not there.
+                // For instance, the port of a peer that is not running is unreachable.
                 Err(_) => Vec::new(),
             },
             Some(outcome) = talk.with.seen.recv() => {
@@ -119,7 +123,7 @@
                 Vec::new()
             }
         };
-        // What is given back or has run out is not used any longer before anything is said of it.
+        // The engine stops using permits that are released or expired before any release is sent.
         talk.tell().await;
         talk.say(out);
         talk.show();
@@ -177,14 +181,14 @@
                 continue;
             }
             self.room -= if most.is_finite() { size } else { 0.0 };
-            // One that is not sent is one that was lost.
+            // A datagram that cannot be sent counts as lost.
             if self.with.socket.try_send_to(&bytes, *peer).is_ok() {
                 self.view.said = (self.view.said.0 + 1, self.view.said.1 + bytes.len() as u64);
             }
         }
     }
 
-    /// Tells the engine what changed of what is held and believed.
+    /// Passes changes of permits and suspected nodes to the engine, and updates the status.
     async fn tell(&mut self) {
         let now = self.with.clock.now();
         let (view, news) = self.teller.look(&self.member, &self.with.terms, now);
@@ -206,7 +210,7 @@
         self.view.turns = self.teller.turns().to_vec();
     }
 
-    /// Writes the view, once a second, where one is wanted.
+    /// Writes the status file once a second, if one is configured.
     fn show(&mut self) {
         let now = self.with.clock.now();
         let Some(path) = self.with.view.as_ref().filter(|_| now - self.shown >= Span::from_secs(1.0)) else {
@@ -222,7 +226,7 @@
         };
         self.view.words = self.member.words(now).map(seen).collect();
         let text = serde_json::to_string(&self.view).unwrap_or_default();
-        // Replaced whole: no reader sees half of it.
+        // The file is replaced by a rename, so that no reader sees part of it.
         let beside = path.with_extension("new");
         let written = std::fs::write(&beside, text).and_then(|()| std::fs::rename(&beside, path));
         if let Err(error) = written {
--- a/crates/peer-transport/src/teller.rs
+++ b/crates/peer-transport/src/teller.rs
@@ -1,4 +1,5 @@
-//! What the engine is told of what is shared: what changed, and no more. The same for the running director and the emulator.
+//! Turns changes of the shared state into inputs of the engine. The director in service and the lab's
+//! emulator both use it.
 
 use ashglade::ids::Node;
 use ashglade::time::{Instant, Span};
@@ -8,9 +9,10 @@
 
 use crate::terms::{EARLY, LOOK, REPEATS, TURNS};
 
+/// Keeps what the engine was last told, so that it is told only changes.
 #[derive(Clone, Debug, Default)]
 pub struct Teller {
-    /// The span in which a node's further SETUPs are counted, where they are shared.
+    /// Window over which further SETUPs at a node are counted; `None` if directors share no limit on them.
     repeats_span: Option<Span>,
     turns: (Vec<usize>, Option<Lapse>),
     repeats: Option<(usize, Option<Lapse>)>,
@@ -18,24 +20,29 @@
 }
 
 impl Teller {
+    /// Starts with an engine that has been told nothing.
     pub fn new(repeats_span: Option<Span>) -> Teller {
         Teller { repeats_span, ..Teller::default() }
     }
 
+    /// Returns the numbers of the slow-start turns, as last passed to the engine.
     pub fn turns(&self) -> &[usize] {
         &self.turns.0
     }
 
-    /// Further SETUPs for one node within the span, as last told.
+    /// Returns the limit on further SETUPs at one node within the window, as last passed to the engine;
+    /// `None` if directors share no such limit.
     pub fn repeats(&self) -> Option<usize> {
         self.repeats.as_ref().map(|(most, _)| *most)
     }
 
+    /// Returns the nodes to be tried last, as last passed to the engine.
     pub fn last(&self) -> &[Node] {
         &self.last
     }
 
-    /// What is believed now, and what of it the engine doesn't know yet.
+    /// Returns the current snapshot of the shared state, and the inputs by which the engine learns what has
+    /// changed.
     pub fn look(&mut self, member: &Member, terms: &Terms, now: Instant) -> (View, Vec<Input>) {
         let early = Span::from_secs(EARLY);
         let view = member.view(now, early);
@@ -65,12 +72,13 @@
     }
 }
 
-/// When what is lent runs out, if anything is, and what is kept then.
+/// Returns when the leases end, and the number of permits retained then; `None` if nothing is leased.
 fn lapse(held: &Held, pool: Option<&Pool>, early: Span) -> Option<Lapse> {
     Some(Lapse { at: held.until? - early, kept: pool?.kept })
 }
 
-/// The engine is told anew when rights change, and when a lease was renewed for a good while.
+/// Returns whether the engine needs an update: the permits changed, or a lease was renewed by more than one
+/// tick.
 fn is_news(before: &[usize], until: &Option<Lapse>, now: &[usize], new: &Option<Lapse>) -> bool {
     let later = match (until, new) {
         (Some(before), Some(new)) => new.at - before.at > Span::from_secs(LOOK.as_secs_f64()),
--- a/crates/peer-transport/src/terms.rs
+++ b/crates/peer-transport/src/terms.rs
@@ -1,4 +1,4 @@
-//! What directors share by their settings.
+//! Configuration of the shared state, derived from the settings.
 
 use std::time::Duration;
 
@@ -6,36 +6,43 @@
 use ashglade_settings::Settings;
 use ashglade_shared::{Pool, Terms};
 
-/// How often what is held is looked at: it runs out by itself.
+/// Interval at which held permits are checked, as leases end without any message.
 pub const LOOK: Duration = Duration::from_millis(100);
-/// Rights are given up so long before they run out: what has been decided by then is with its node before the rest is over.
+/// Time before the end of a lease at which its permit is given up, in seconds. SETUPs decided by then reach
+/// their node before the guard interval ends.
 pub const EARLY: f64 = 0.25;
-/// The pools, in their order.
+/// Index of the permit pool for turns at nodes in slow start.
 pub const TURNS: usize = 0;
+/// Index of the permit pool for further SETUPs at a node.
 pub const REPEATS: usize = 1;
-/// What tasks may wait for each other between a decision and its first byte, beyond the connection: under [`EARLY`].
+/// Maximum time that tasks may wait for each other between a decision and the first byte of its SETUP, in
+/// seconds, besides the time to connect. It must be below [`RELEASE_MARGIN_SECONDS`].
 pub const LATE: f64 = 0.2;
-/// Spread stands still where nothing but turns is shared.
+/// Gossip interval that disables gossip, in milliseconds, used where directors share nothing but slow-start
+/// turns.
 const NEVER: f64 = 1e9;
 
-/// What passes at most between a decision and the first byte of its SETUP; later, it isn't written.
+/// Returns the maximum time between a decision and the first byte of its SETUP. After that, the SETUP is not
+/// sent.
 pub fn under_way(settings: &Settings) -> Span {
     Span::from_secs(settings.front.connect_timeout.as_secs_f64() + LATE)
 }
 
-/// The span in which a director counts its further SETUPs at a node: from decisions, where the node counts what arrives.
+/// Returns the window over which a director counts its further SETUPs at a node. It is longer than the
+/// configured one, because the director counts decisions, and the node counts arrivals.
 pub fn repeats_span(settings: &Settings) -> Option<Span> {
     let repeats = settings.talk.as_ref()?.share.as_ref()?.repeats?;
     Some(repeats.span + under_way(settings))
 }
 
-/// What this director shares with the others; none where its settings don't name them.
+/// Returns the configuration of the state that this director shares with others; `None` if the settings name
+/// no others.
 pub fn terms(settings: &Settings) -> Option<Terms> {
     let talk = settings.talk.as_ref()?;
     let headend = &settings.headend;
     let seconds = |d: Duration| Span::from_secs(d.as_secs_f64());
     let directors = headend.directors;
-    // A turn is in two halves: the first is its director's for good, the second lent.
+    // A turn consists of two halves: the first is reserved for its director, the second is leased.
     let mut pools = vec![Pool { kept: 1, lent: directors, always: true }];
     let share = talk.share.as_ref();
     let repeats = share.and_then(|share| share.repeats.as_ref());
@@ -43,8 +50,8 @@
         let lent = repeats.at_node.saturating_sub(repeats.kept * directors);
         pools.push(Pool { kept: repeats.kept, lent, always: false });
     }
-    // Between two holders of a right: the longest span in which nodes count, what a connection and an answer may take on
-    // top, and what is given up early.
+    // The guard interval covers the longest window over which nodes count, the time in which a decided SETUP
+    // may still be sent, the interval between checks, and the margin by which permits are given up early.
     let counted = repeats.map_or(Span::ZERO, |repeats| repeats.span).max(headend.fall_span);
     let rest = counted + under_way(settings) + seconds(LOOK) + Span::from_secs(EARLY);
     let never = Span::from_secs(NEVER);
--- a/crates/peer-transport/src/view.rs
+++ b/crates/peer-transport/src/view.rs
@@ -1,11 +1,11 @@
-//! What a director believes, from whom, and what it held and told: for `ashglade show`.
+//! Status of a director's shared state, written as JSON and read by `ashglade show`. The JSON keys are fixed.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// One director's word on a node.
+/// One director's health report on a node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Seen {
     pub node: u64,
@@ -15,24 +15,31 @@
     pub age_ms: u32,
 }
 
+/// Shared state and traffic counters of one director.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct View {
+    /// Index of the director.
     pub director: usize,
+    /// Number of directors.
     pub directors: usize,
-    /// Directors heard of within a lease.
+    /// Directors from which a message arrived within the duration of a lease, and the director itself.
     pub heard: Vec<usize>,
+    /// Numbers of the held slow-start turns.
     pub turns: Vec<usize>,
-    /// Further SETUPs for one node within the span: ours, and all there are; none where that isn't shared.
+    /// Limit on further SETUPs at one node within the window: this director's share, and the limit of the fleet;
+    /// `None` if directors share no such limit.
     pub repeats: Option<(usize, usize)>,
-    /// Nodes that are tried last, and on whose word.
+    /// Nodes to be tried last, by id in hexadecimal, with the directors that reported them.
     pub last: BTreeMap<String, Vec<u16>>,
+    /// Health reports of all directors.
     pub words: Vec<Seen>,
-    /// Datagrams and bytes since the start.
+    /// Datagrams and bytes sent since the start.
     pub said: (u64, u64),
+    /// Datagrams and bytes accepted since the start.
     pub taken: (u64, u64),
-    /// Not sent, as more than `bytes_per_s` was to be said.
+    /// Number of datagrams not sent because of the limit on bytes per second.
     pub held_back: u64,
-    /// By reason: datagrams that were passed over.
+    /// Number of discarded datagrams, by reason.
     pub passed: BTreeMap<String, u64>,
 }
 
