--- a/crates/shared/src/judgements.rs
+++ b/crates/shared/src/judgements.rs
@@ -9,8 +9,9 @@
 //! A director that has seen no failure itself suspects a node only on reports from independent sources
 //! ([`HealthStore::suspected_nodes`]): several directors, from its own zone or from two others, that
 //! outnumber those that report the node healthy. The influence of one source is limited. It counts once,
-//! however many failures it saw, and not at all if it reports failures at more nodes alone than it shares
-//! with others: then it is considered faulty itself (as in Lifeguard: Dadgar and others, 2018).
+//! however many failures it saw, and not at all if it reports failures alone at three or more nodes, and at
+//! more nodes alone than together with others: then it is considered faulty itself (as in Lifeguard:
+//! Dadgar and others, 2018).
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -56,10 +57,10 @@
     at: Instant,
 }
 
-/// Maximum number of nodes in the store, and of nodes with counted failures. A further node replaces the one
-/// whose last report is oldest.
+/// Maximum number of nodes in the store, and of nodes with counted failures. In the store a further node
+/// replaces the one whose newest report is oldest.
 const MOST_NODES: usize = 4096;
-/// Number of sources required to suspect a node, or half of the directors where they are fewer.
+/// Number of sources required to suspect a node, or half of the directors, rounded up, where that is fewer.
 const WITNESSES: usize = 3;
 /// Maximum age of an accepted report, in milliseconds; an older one is of no use.
 const MOST_AGE_MS: u32 = 3_600_000;
@@ -77,8 +78,8 @@
 }
 
 impl Judgements {
-    /// Creates an empty store. Versions of own reports start above `first`, which must exceed the versions
-    /// used by any previous process of this director.
+    /// Creates an empty store. Versions of own reports start above `last_version`, which must not be below
+    /// any version used by a previous process of this director.
     pub fn new(me: usize, fade: Span, first: u64) -> Judgements {
         Judgements { me: me as u16, fade, known: BTreeMap::new(), failed: BTreeMap::new(), version: first }
     }
--- a/crates/shared/src/member.rs
+++ b/crates/shared/src/member.rs
@@ -131,7 +131,7 @@
         self.say(out)
     }
 
-    /// Returns the permits that may be used from now for at least `early`, and what is known of nodes and
+    /// Returns the permits that may be used from now for at least `margin`, and what is known of nodes and
     /// peers.
     pub fn view(&self, now: Instant, early: Span) -> View {
         let held = (0..self.terms.pools.len()).map(|pool| self.rights.held(pool, now + early)).collect();
--- a/crates/shared/src/rights.rs
+++ b/crates/shared/src/rights.rs
@@ -27,8 +27,7 @@
 //!
 //! References: leases, Gray and Cheriton, 1989; majorities, Lamport, 1998; permits held in place of sums that
 //! are read, O'Neil, 1986 (escrow), and Balegas and others, 2015. `tests/interleavings.rs` and
-//! `tests/random_simulations.rs` search for a counterexample. They find none in the protocol as it is, and
-//! one for each [`InjectedFault`].
+//! `tests/random_simulations.rs` search for a counterexample, and find one for each [`InjectedFault`].
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -51,8 +50,8 @@
 /// `process_id` identifies the holder's process, and `round` the request round of that process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// Holder to voter: requests or renews leases on `permits`, and queries the free permits of the owners in
-    /// `query`.
+    /// Holder to voter: requests or renews leases on `permits`, and queries the free permits of
+    /// `queried_owners`.
     Ask { process: u64, number: u64, rights: Vec<Right>, look: Vec<u16> },
     /// Voter to holder: grants `permits` of the request of that round. As far as this voter knows, those in
     /// `free` are available.
@@ -81,7 +80,7 @@
     /// Process of the holder; after a restart a director doesn't know what it held.
     process: u64,
     number: u64,
-    /// Time before which this voter grants the permit to no other holder.
+    /// Time before which this voter grants the permit to nobody else.
     until: Instant,
 }
 
--- a/crates/shared/src/spread.rs
+++ b/crates/shared/src/spread.rs
@@ -52,7 +52,7 @@
 }
 
 impl Spread {
-    /// Starts with nothing to send. `every` is the interval between rounds; `seed` selects the sequence of
+    /// Starts with nothing to send. `interval` is the time between rounds; `seed` selects the sequence of
     /// peers.
     pub fn new(me: usize, directors: usize, every: Span, seed: u64, now: Instant) -> Spread {
         let random = oorandom::Rand64::new(u128::from(seed) << 16 | me as u128);
@@ -169,7 +169,8 @@
     }
 }
 
-/// Returns a hash of the stored reports of each of `many` sources from `first` on, 0 where there are none.
+/// Returns a hash of the stored reports of each of `count` sources from `first_source` on, 0 where there are
+/// none.
 fn hashes(known: &Judgements, first: usize, many: usize, now: Instant) -> Vec<u32> {
     let mut hashes = vec![0u32; many];
     for word in known.words(now) {
--- a/crates/shared/tests/interleavings.rs
+++ b/crates/shared/tests/interleavings.rs
@@ -1,7 +1,9 @@
-//! An exhaustive search: three directors whose clocks run too fast, too slow or well; in each of several steps any of them is
-//! cut off, heard of one way only, stopped, started again, or needs more or nothing, and messages come at once, twice, a step
-//! late, or never. Each order of those is gone through, and in none do two use one right at once, nor within the rest after
-//! one another. With a part of the argument left out, two do.
+//! Exhaustive search for two directors that use one permit at once or without the guard interval in between.
+//!
+//! Three directors have clocks that run too fast, too slow or exactly. In each of several steps one of them
+//! is isolated, loses what it sends, pauses, restarts, or needs more or no permits, or messages arrive at
+//! once, twice or a step late. The search covers all sequences of these events. It must find no violation,
+//! and one for each injected fault.
 
 mod world;
 
@@ -10,28 +12,29 @@
 use world::{DRIFT, World};
 
 const N: usize = 3;
-/// True time of a step, in ms, a little over a third of the lease: each has asked once in it.
+/// Duration of a step in true time, in milliseconds: a little over a third of the lease, so that each
+/// director sends a request in it.
 const STEP: f64 = 1200.0;
-/// Looks at who uses what in a step.
+/// Number of checks within a step.
 const LOOKS: usize = 6;
 
-/// What a step brings.
+/// Event of a step.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fate {
     Well,
-    /// Everything comes a step late.
+    /// Everything arrives a step late.
     Late,
-    /// Only what is granted does.
+    /// Only replies arrive a step late.
     LateGrants,
     Twice,
-    /// This one is cut off, or it hears and is not heard.
+    /// The director neither sends nor receives, or what it sends is lost.
     Cut(usize),
     Mute(usize),
-    /// It stands still, and goes on at the end of the step with what it believed.
+    /// The director pauses, and continues after the step with its old state.
     Stop(usize),
-    /// It starts again.
+    /// The director restarts.
     Restart(usize),
-    /// It needs all there is, or nothing.
+    /// The director needs all permits, or none.
     More(usize),
     Nothing(usize),
 }
@@ -41,7 +44,7 @@
     Fate::Late,
     Fate::LateGrants,
     Fate::Twice,
-    // By symmetry of what they do it is the first that is cut off, muted or stopped; it or the last starts again.
+    // Directors 0 and 2 do the same, so it is enough that director 0 is isolated, mute or paused.
     Fate::Cut(0),
     Fate::Mute(0),
     Fate::Stop(0),
@@ -54,7 +57,7 @@
 #[derive(Clone)]
 struct Play {
     world: World,
-    /// On their way, a step late.
+    /// Messages that arrive in the next step.
     late: Vec<(usize, usize, Message)>,
 }
 
@@ -71,14 +74,14 @@
         let lost = |from: usize, to: usize| match fate {
             Fate::Cut(who) => from == who || to == who,
             Fate::Mute(who) => from == who,
-            // What comes for it waits; that is as good as late.
+            // What arrives at a paused director would wait; `Late` covers that case.
             Fate::Stop(who) => to == who,
             _ => false,
         };
         for look in 0..LOOKS {
             world.now += STEP / LOOKS as f64;
             let came: Vec<_> = if look == 0 { std::mem::take(&mut self.late) } else { Vec::new() };
-            // What was late is so once; its answer may be late in its turn.
+            // A message is delayed only once; its reply may be delayed in turn.
             for (from, to, message) in came {
                 if lost(from, to) {
                     continue;
@@ -126,8 +129,8 @@
     Ok(())
 }
 
-/// Searches from where all hold what is theirs, from where one has been silent and what it had is another's, and from where
-/// grants are on their way.
+/// Searches from three starting points: all directors hold their own permits; director 0 has been isolated
+/// and others hold its permit; replies are on their way.
 fn searched(depth: usize, defect: Option<Defect>) -> Result<usize, String> {
     let (slow, fast) = (1.0 - DRIFT, 1.0 + DRIFT);
     let mut count = 0;
@@ -160,7 +163,7 @@
         Ok(count) => panic!("{defect:?} is not found in {count} steps"),
         Err(what) => format!("{defect:?}: {what}\n"),
     };
-    // A lease counted from its answer takes longer to show: `worlds.rs` finds it.
+    // A lease counted from the reply takes more steps to cause a violation: `random_simulations.rs` finds it.
     let all: String = [Defect::NoRest, Defect::Twice].into_iter().map(found).collect();
     expect_test::expect![[r#"
         NoRest: right 3 was used by 0 until 13600 and by 1 at 14200, by [Restart(2), Well, Late, Cut(0)]
--- a/crates/shared/tests/joins.rs
+++ b/crates/shared/tests/joins.rs
@@ -1,4 +1,5 @@
-//! Judgements come to the same in any order, doubled, and told on by others; one source moves little.
+//! Health reports merge to the same result in any order, with duplicates, and when forwarded by others; and a
+//! single source has little influence.
 
 use ashglade::time::{Instant, Span};
 use ashglade_shared::judgements::Judgements;
@@ -15,7 +16,8 @@
     Instant::from_ms(1e9)
 }
 
-/// Of one version there is but one word; its age differs by the way that it came.
+/// Returns a report whose health depends on its key, as there is only one report of each version. The ages of
+/// its copies may differ.
 fn word(source: u16, node: u64, version: u64, age_ms: u32) -> Judgement {
     let verdict =
         [Verdict::Well, Verdict::Failing, Verdict::Silent][(source as u64 + node + version) as usize % 3];
@@ -61,7 +63,7 @@
     }
 }
 
-/// Nine directors in three zones.
+/// Zones of nine directors.
 const ZONES: [u8; 9] = [0, 1, 2, 0, 1, 2, 0, 1, 2];
 
 fn says(source: u16, node: u64, verdict: Verdict) -> Judgement {
@@ -90,14 +92,14 @@
     assert_eq!(left(&three), [7]);
     let as_many = [says(3, 7, Well), says(5, 7, Well), says(6, 7, Well)];
     assert_eq!(left(&[three, as_many].concat()), [0u64; 0], "as many do well there");
-    // What answers us is not left on others' word, and old words are none.
+    // A node that answers this director is not suspected, and expired reports don't count.
     assert_eq!(left(&[&three[..], &[says(0, 7, Well)]].concat()), [0u64; 0]);
     assert_eq!(left(&three.map(|word| Judgement { age_ms: 3 * FADE as u32, ..word })), [0u64; 0]);
 }
 
 #[test]
 fn one_whose_own_link_is_cut_takes_no_node_from_the_others() {
-    // It speaks ill of all, and two others of one node each that is well for all but them: still two.
+    // Director 1 reports all nodes, and two others report the same one: only two sources count.
     let cut: Vec<Judgement> = (0..20).map(|node| says(1, node, Verdict::Silent)).collect();
     assert_eq!(left(&cut), [0u64; 0]);
     let with_others = [&cut[..], &[says(2, 3, Verdict::Failing), says(4, 3, Verdict::Failing)]].concat();
--- a/crates/shared/tests/spread.rs
+++ b/crates/shared/tests/spread.rs
@@ -1,4 +1,5 @@
-//! How words get round a fleet, by rounds and by bytes; one that comes back, one that hears nothing, and healing.
+//! Gossip in a simulated fleet: rounds and bytes until all directors know a report, a director that restarts,
+//! and a network partition and its end.
 
 use std::collections::VecDeque;
 
@@ -26,7 +27,7 @@
 struct Fleet {
     members: Vec<Member>,
     ms: f64,
-    /// Nothing passes to or from these.
+    /// Directors that neither send nor receive anything.
     cut: Vec<bool>,
     bytes: usize,
     longest: usize,
@@ -61,7 +62,7 @@
         self.members.iter().filter(|member| member.words(self.now()).count() > 0).count()
     }
 
-    /// Rounds until so many know of something.
+    /// Runs rounds until `know` directors have a report, and returns their number.
     fn until(&mut self, know: usize) -> usize {
         let mut rounds = 0;
         while self.know() < know {
@@ -99,7 +100,7 @@
     }
     (0..100).for_each(|_| fleet.round());
     let all = fleet.members[0].words(fleet.now()).count();
-    // It starts again, after the words have long been no news.
+    // It restarts long after the others stopped pushing the reports.
     let now = fleet.now();
     fleet.members[9] = Member::start(terms(9, 100), 2000, now);
     fleet.cut[9] = false;
--- a/crates/shared/tests/world/mod.rs
+++ b/crates/shared/tests/world/mod.rs
@@ -1,5 +1,5 @@
-//! Directors in one simulated world, and who uses which right when, by true time. What is safe is judged here from what each
-//! holds, not from what they say.
+//! Simulated directors with clocks of different rates, and a check in true time that no two of them use one
+//! permit. The check looks at the permits that each director holds, not at the messages.
 
 use std::collections::BTreeMap;
 
@@ -31,12 +31,12 @@
 #[derive(Clone)]
 pub struct World {
     pub members: Vec<Rights>,
-    /// How fast each clock runs.
+    /// Rate of each director's clock against true time.
     pub rates: Vec<f64>,
     pub now: f64,
     pub zones: u8,
     pub defect: Option<Defect>,
-    /// By right: who used it last, and until when at least.
+    /// By permit: the director that last held it, and the true time in milliseconds when it was last seen to.
     used: BTreeMap<usize, (usize, f64)>,
     pub processes: u64,
     pub most_held: usize,
@@ -76,7 +76,8 @@
         self.members[who].held(0, self.clock(who)).rights
     }
 
-    /// Looks at who uses what, `since` ms after the look before. The rest has to have passed between two users of one.
+    /// Checks the permits held by each director, `since` milliseconds after the previous check. The guard
+    /// interval must have passed between two holders of a permit.
     pub fn look(&mut self, since: f64) -> Result<(), String> {
         let n = self.members.len();
         let mut all = 0;
--- a/crates/shared/tests/worlds.rs
+++ b/crates/shared/tests/worlds.rs
@@ -1,5 +1,6 @@
-//! Random worlds from seeds: twelve directors in three zones, whose links lose, delay, double and reorder what is said and are
-//! cut both ways or one, that stop, start again and need more or less. `ASHGLADE_STEPS` has it go on for longer.
+//! Simulations from random seeds: twelve directors in three zones. Links lose, delay, duplicate and reorder
+//! messages and are partitioned in one or both directions; directors pause, restart, and need more or fewer
+//! permits. The environment variable `ASHGLADE_STEPS` sets the number of steps.
 
 mod world;
 
@@ -14,10 +15,10 @@
 struct Play {
     world: World,
     random: Rand64,
-    /// By when they come.
+    /// Messages in flight: arrival time, sender, recipient, content.
     out: Vec<(f64, usize, usize, Message)>,
     stopped: [f64; N],
-    /// Until when nothing goes from the one to the other.
+    /// Time until which messages from the first to the second director are lost.
     cut: [[f64; N]; N],
     loss: f64,
 }
@@ -54,7 +55,7 @@
             2 => self.cut[who][other] = until,
             3 => (0..N).for_each(|d| self.cut[who][d] = until),
             4 => (0..N).for_each(|d| self.cut[d][who] = until),
-            // A zone alone.
+            // Partitions one zone from the others.
             5 => {
                 for (a, b) in (0..N).flat_map(|a| (0..N).map(move |b| (a, b))) {
                     if (a % 3 == who % 3) != (b % 3 == who % 3) {
@@ -86,7 +87,7 @@
         by_time.sort_by(|a, b| a.0.total_cmp(&b.0));
         for (_, from, to, message) in due {
             if now < self.stopped[to] {
-                // It waits in the socket's queue.
+                // The message waits in the socket's receive buffer.
                 self.out.push((self.stopped[to], from, to, message));
             } else if let Some((back, answer)) = self.world.take(from, to, &message) {
                 self.send(to, back, answer);
@@ -144,14 +145,14 @@
     };
     play.world.members[4].need(0, N);
     let all = until(&mut play, &|play| held(play, 4) == N + 1, 30_000.0);
-    // A zone is gone, and with it the one that holds all; what it had is there for another at the latest after lease, rest
-    // and drift, and a few rounds to find it.
+    // A zone fails, and with it the director that holds all permits. They are available to another director
+    // after the lease and the guard interval, both extended by clock drift, and a few rounds to find them.
     play.world.members[6].need(0, N);
     for me in [1, 4, 7, 10] {
         play.stopped[me] = f64::INFINITY;
     }
     let back = until(&mut play, &|play| held(play, 6) == N + 1, 40_000.0);
-    // Homes that need their own have it again within a lease and the rest.
+    // Owners that need their own permits have them again within a lease and the guard interval.
     (0..N).for_each(|me| {
         if ![1, 4, 6, 7, 10].contains(&me) {
             play.world.members[me].need(0, 1)
@@ -166,7 +167,7 @@
 }
 
 impl Play {
-    /// A step without troubles of its own.
+    /// Runs a step. If the random draw of `step` would cause a random event, it is consumed first.
     fn step_well(&mut self) -> Result<(), String> {
         let before = self.random;
         let drawn = self.random.rand_float();
