--- a/crates/peer-transport/src/terms.rs
+++ b/crates/peer-transport/src/terms.rs
@@ -18,8 +18,8 @@
 /// Maximum time that tasks may wait for each other between a decision and the first byte of its SETUP, in
 /// seconds, besides the time to connect. It must be below [`RELEASE_MARGIN_SECONDS`].
 pub const LATE: f64 = 0.2;
-/// Gossip interval that disables gossip, in milliseconds, used where directors share nothing but slow-start
-/// turns.
+/// Interval that in practice never ends, in seconds: gossip and the expiry of reports are disabled where
+/// directors share nothing but slow-start turns.
 const NEVER: f64 = 1e9;
 
 /// Returns the maximum time between a decision and the first byte of its SETUP. After that, the SETUP is not
--- a/crates/shared/tests/spread.rs
+++ b/crates/shared/tests/spread.rs
@@ -62,7 +62,7 @@
         self.members.iter().filter(|member| member.words(self.now()).count() > 0).count()
     }
 
-    /// Runs rounds until `know` directors have a report, and returns their number.
+    /// Runs rounds until `count` directors have a report, and returns their number.
     fn until(&mut self, know: usize) -> usize {
         let mut rounds = 0;
         while self.know() < know {
