--- a/crates/admission/src/fair.rs
+++ b/crates/admission/src/fair.rs
@@ -11,7 +11,7 @@
 use std::collections::VecDeque;
 use std::hash::Hasher;
 
-use ashglade::ids::Sess;
+use ashglade::ids::SessionId;
 use ashglade::time::Instant;
 use siphasher::sip::SipHasher13;
 
@@ -262,7 +262,7 @@
         group.pop()
     }
 
-    pub fn remove(&mut self, sess: Sess) -> bool {
+    pub fn remove(&mut self, sess: SessionId) -> bool {
         self.groups.iter_mut().any(|group| !group.take(|ticket| ticket.request.sess == sess).is_empty())
     }
 
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -15,7 +15,7 @@
 pub mod later;
 pub mod limit;
 
-use ashglade::ids::{Group, Sess};
+use ashglade::ids::{GroupId, SessionId};
 use ashglade::time::{Instant, Span};
 use serde::{Deserialize, Serialize};
 
@@ -45,8 +45,8 @@
 /// A request at the door.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Request {
-    pub sess: Sess,
-    pub group: Group,
+    pub sess: SessionId,
+    pub group: GroupId,
     /// By its place among the tenants of the terms.
     #[serde(default)]
     pub tenant: usize,
@@ -71,9 +71,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
     /// It goes to the module now, having waited so long.
-    In { sess: Sess, waited: Span },
+    In { sess: SessionId, waited: Span },
     /// It is busy-replied now.
-    Away { sess: Sess, retry_after: Option<Span>, why: Turned },
+    Away { sess: SessionId, retry_after: Option<Span>, why: Turned },
 }
 
 /// Why a request is sent away.
@@ -129,7 +129,7 @@
     heavy: Heavy,
     later: Later,
     /// Requests that went in and have not come out, with when.
-    inside: std::collections::BTreeMap<Sess, Instant>,
+    inside: std::collections::BTreeMap<SessionId, Instant>,
     /// When it was last looked whose turn can't come in time.
     looked: Instant,
     /// Nothing more goes in just now, whatever the limit.
@@ -197,12 +197,12 @@
     }
 
     /// The viewer of a request that waits has gone; false if it doesn't wait here.
-    pub fn left(&mut self, sess: Sess) -> bool {
+    pub fn left(&mut self, sess: SessionId) -> bool {
         self.fair.remove(sess)
     }
 
     /// A request that went in has come out.
-    pub fn done(&mut self, sess: Sess, how: Came, now: Instant) {
+    pub fn done(&mut self, sess: SessionId, how: Came, now: Instant) {
         let Some(since) = self.inside.remove(&sess) else { return };
         self.limit.came(now - since, how, self.inside.len() + 1, now);
         if how == Came::Plays {
--- a/crates/admission/src/tests.rs
+++ b/crates/admission/src/tests.rs
@@ -81,9 +81,9 @@
         by_client: BTreeMap::new(),
         kept: later::Kept::default(),
     };
-    let mut known: BTreeMap<Sess, (usize, u64, f64, bool)> = BTreeMap::new();
-    let mut queue: std::collections::VecDeque<Sess> = Default::default();
-    let mut serving: Vec<(f64, Sess)> = Vec::new();
+    let mut known: BTreeMap<SessionId, (usize, u64, f64, bool)> = BTreeMap::new();
+    let mut queue: std::collections::VecDeque<SessionId> = Default::default();
+    let mut serving: Vec<(f64, SessionId)> = Vec::new();
     let mut backs: BTreeMap<u64, usize> = BTreeMap::new();
     let mut t = 0.0;
     while t < secs + 2.0 {
@@ -93,12 +93,12 @@
             coming.first_key_value().filter(|((w, _), _)| *w as f64 / 1e6 <= t)
         {
             coming.remove(&(when, n));
-            let sess = Sess(n);
+            let sess = SessionId(n);
             known.insert(sess, (group, client, t, back));
             day.groups[group].asked += usize::from(!back);
             let (start_target, setup_timeout) = (Span::from_secs(1.0), Span::from_secs(3.0));
             door.offer(
-                Request { sess, group: Group(group), tenant: 0, client, start_target, setup_timeout },
+                Request { sess, group: GroupId(group), tenant: 0, client, start_target, setup_timeout },
                 now,
             );
             if !fair {
@@ -267,8 +267,8 @@
     );
     let now = Instant::from_ms(1.0);
     let request = |n: u64, group: usize| Request {
-        sess: Sess(n),
-        group: Group(group),
+        sess: SessionId(n),
+        group: GroupId(group),
         tenant: 0,
         client: n,
         start_target: Span::from_secs(1.0),
@@ -285,7 +285,7 @@
         .collect();
     assert_eq!((away.len(), door.held()), (13, (10, 0)));
     assert!(away.iter().all(|&n| n < 20), "only the flood gives up places: {away:?}");
-    assert!(door.left(Sess(21)) && !door.left(Sess(21)));
+    assert!(door.left(SessionId(21)) && !door.left(SessionId(21)));
     // Whoever waited as long as it may is told then, not at its setup timeout.
     let told = door.round(Instant::from_ms(502.0)).len();
     assert_eq!((told, door.held()), (9, (0, 0)));
@@ -297,9 +297,10 @@
     let at = |secs: f64| Instant::from_ms(secs * 1e3);
     let mut door = Door::new(terms(&[1.0]), at(0.0));
     let mut number = 0u64;
-    let mut known: BTreeMap<Sess, u64> = BTreeMap::new();
+    let mut known: BTreeMap<SessionId, u64> = BTreeMap::new();
     let mut coming: BTreeMap<(u64, u64), u64> = BTreeMap::new();
-    let (mut serving, mut queue): (Vec<(f64, Sess)>, std::collections::VecDeque<Sess>) = Default::default();
+    let (mut serving, mut queue): (Vec<(f64, SessionId)>, std::collections::VecDeque<SessionId>) =
+        Default::default();
     let (mut t, mut served) = (0.0, 0);
     while t < 30.0 {
         t += 0.005;
@@ -314,14 +315,14 @@
         {
             coming.remove(&(when, n));
             number += 1;
-            known.insert(Sess(number), client);
+            known.insert(SessionId(number), client);
             let (start_target, setup_timeout) = (Span::from_secs(1.0), Span::from_secs(3.0));
             // Not known again, each retry is taken for somebody new.
             let client = if known_again { client } else { number };
             door.offer(
                 Request {
-                    sess: Sess(number),
-                    group: Group(0),
+                    sess: SessionId(number),
+                    group: GroupId(0),
                     tenant: 0,
                     client,
                     start_target,
@@ -383,8 +384,8 @@
         let (start_target, setup_timeout) = (Span::from_secs(1.0), Span::from_secs(3.0));
         for n in 0..100u64 {
             for tenant in (0..3).filter(|&t| asks[t]) {
-                let sess = Sess(n * 3 + tenant as u64);
-                let group = Group(usize::from(tenant == 2));
+                let sess = SessionId(n * 3 + tenant as u64);
+                let group = GroupId(usize::from(tenant == 2));
                 door.offer(Request { sess, group, tenant, client: n, start_target, setup_timeout }, now);
             }
         }
--- a/crates/admission/tests/worlds.rs
+++ b/crates/admission/tests/worlds.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use ashglade::ids::{Group, Sess};
+use ashglade::ids::{GroupId, SessionId};
 use ashglade::time::{Instant, Span};
 use ashglade_admission::{Came, Door, Request, Terms, Verdict};
 use expect_test::expect;
@@ -26,7 +26,7 @@
 
 fn request(n: u64, group: usize, client: u64) -> Request {
     let (start_target, setup_timeout) = (Span::from_secs(1.0), Span::from_secs(3.0));
-    Request { sess: Sess(n), group: Group(group), tenant: 0, client, start_target, setup_timeout }
+    Request { sess: SessionId(n), group: GroupId(group), tenant: 0, client, start_target, setup_timeout }
 }
 
 #[test]
@@ -35,8 +35,8 @@
         let mut random = oorandom::Rand64::new(seed);
         let mut door = Door::new(terms(3, seed as u64), at(0.0));
         // By session: when it came, and its verdicts.
-        let mut known: BTreeMap<Sess, (f64, usize, bool)> = BTreeMap::new();
-        let mut inside: Vec<Sess> = Vec::new();
+        let mut known: BTreeMap<SessionId, (f64, usize, bool)> = BTreeMap::new();
+        let mut inside: Vec<SessionId> = Vec::new();
         let (mut t, mut n) = (0.0, 0);
         for _ in 0..600 {
             // Mostly small steps; sometimes the clock stands still, or two seconds are lost at once.
@@ -52,10 +52,10 @@
                 // A group that there is none of is sent away, not lost.
                 let group = random.rand_range(0..4) as usize;
                 door.offer(request(n, group, random.rand_range(0..30)), at(t));
-                known.insert(Sess(n), (t, 0, false));
+                known.insert(SessionId(n), (t, 0, false));
             }
             if random.rand_float() < 0.2 && n > 0 {
-                let sess = Sess(random.rand_range(1..n + 1));
+                let sess = SessionId(random.rand_range(1..n + 1));
                 if door.left(sess) {
                     known.get_mut(&sess).expect("a request").2 = true;
                 }
@@ -110,9 +110,9 @@
     let mut doors: Vec<Door> = (0..rates.len())
         .map(|d| Door::new(Terms { most_waiting: 400, ..terms(1, d as u64) }, at(0.0)))
         .collect();
-    let mut came: BTreeMap<Sess, (f64, usize)> = BTreeMap::new();
-    let mut queue: VecDeque<Sess> = VecDeque::new();
-    let mut serving: Vec<(f64, Sess)> = Vec::new();
+    let mut came: BTreeMap<SessionId, (f64, usize)> = BTreeMap::new();
+    let mut queue: VecDeque<SessionId> = VecDeque::new();
+    let mut serving: Vec<(f64, SessionId)> = Vec::new();
     let mut served = vec![0; rates.len()];
     let mut next: Vec<f64> = vec![0.0; rates.len()];
     let (mut t, mut n, mut limits) = (0.0, 0, (f64::INFINITY, 0.0f64));
@@ -122,7 +122,7 @@
             while next[d] <= t {
                 next[d] += -(1.0 - random.rand_float()).ln() / rates[d];
                 n += 1;
-                came.insert(Sess(n), (t, d));
+                came.insert(SessionId(n), (t, d));
                 door.offer(request(n, 0, n), at(t));
             }
         }
--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -7,15 +7,15 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use ashglade::ids::{Node, Title};
+use ashglade::ids::{NodeId, TitleId};
 use ashglade::time::{Instant, Span};
 
 #[derive(Debug)]
 pub struct Missing {
     /// By node and title: until when it is believed.
-    until: BTreeMap<(Node, Title), Instant>,
+    until: BTreeMap<(NodeId, TitleId), Instant>,
     /// The same in the order of time.
-    order: BTreeSet<(Instant, Node, Title)>,
+    order: BTreeSet<(Instant, NodeId, TitleId)>,
     most: usize,
     believed: Span,
 }
@@ -35,7 +35,7 @@
     }
 
     /// The node said that it doesn't hold the title.
-    pub fn told(&mut self, node: Node, title: Title, now: Instant) {
+    pub fn told(&mut self, node: NodeId, title: TitleId, now: Instant) {
         self.forget(node, title);
         while self.until.len() >= self.most
             && let Some((_, node, title)) = self.order.pop_first()
@@ -50,21 +50,21 @@
     }
 
     /// Whether it is believed not to hold it.
-    pub fn lacks(&self, node: Node, title: Title, now: Instant) -> bool {
+    pub fn lacks(&self, node: NodeId, title: TitleId, now: Instant) -> bool {
         self.until.get(&(node, title)).is_some_and(|&until| now < until)
     }
 
     /// It holds it after all, as a session plays there.
-    pub fn forget(&mut self, node: Node, title: Title) {
+    pub fn forget(&mut self, node: NodeId, title: TitleId) {
         if let Some(until) = self.until.remove(&(node, title)) {
             self.order.remove(&(until, node, title));
         }
     }
 
     /// The node started again: nothing is known of it.
-    pub fn started(&mut self, node: Node) {
-        let mine = (node, Title(0))..=(node, Title(u64::MAX));
-        let gone: Vec<Title> = self.until.range(mine).map(|(&(_, title), _)| title).collect();
+    pub fn started(&mut self, node: NodeId) {
+        let mine = (node, TitleId(0))..=(node, TitleId(u64::MAX));
+        let gone: Vec<TitleId> = self.until.range(mine).map(|(&(_, title), _)| title).collect();
         gone.into_iter().for_each(|title| self.forget(node, title));
     }
 
--- a/crates/catalogue/src/tests.rs
+++ b/crates/catalogue/src/tests.rs
@@ -11,17 +11,17 @@
 #[test]
 fn it_is_believed_of_one_title_until_its_node_starts_again_or_time_has_passed() {
     let mut m = missing(100);
-    m.told(Node(1), Title(7), at(0.0));
-    m.told(Node(1), Title(8), at(0.0));
-    m.told(Node(2), Title(7), at(30.0));
-    assert!(m.lacks(Node(1), Title(7), at(59.9)) && !m.lacks(Node(1), Title(7), at(60.0)));
-    assert!(!m.lacks(Node(1), Title(9), at(1.0)) && !m.lacks(Node(3), Title(7), at(1.0)));
+    m.told(NodeId(1), TitleId(7), at(0.0));
+    m.told(NodeId(1), TitleId(8), at(0.0));
+    m.told(NodeId(2), TitleId(7), at(30.0));
+    assert!(m.lacks(NodeId(1), TitleId(7), at(59.9)) && !m.lacks(NodeId(1), TitleId(7), at(60.0)));
+    assert!(!m.lacks(NodeId(1), TitleId(9), at(1.0)) && !m.lacks(NodeId(3), TitleId(7), at(1.0)));
     // Told again it is believed anew; a session that plays there proves it wrong.
-    m.told(Node(1), Title(7), at(50.0));
-    assert!(m.lacks(Node(1), Title(7), at(100.0)));
-    m.forget(Node(2), Title(7));
-    assert!(!m.lacks(Node(2), Title(7), at(31.0)));
-    m.started(Node(1));
+    m.told(NodeId(1), TitleId(7), at(50.0));
+    assert!(m.lacks(NodeId(1), TitleId(7), at(100.0)));
+    m.forget(NodeId(2), TitleId(7));
+    assert!(!m.lacks(NodeId(2), TitleId(7), at(31.0)));
+    m.started(NodeId(1));
     assert!(m.is_empty());
 }
 
@@ -30,11 +30,12 @@
     for seed in 0..50 {
         let mut random = oorandom::Rand32::new(seed);
         let mut m = missing(16);
-        let mut plain: Vec<(Instant, Node, Title)> = Vec::new();
+        let mut plain: Vec<(Instant, NodeId, TitleId)> = Vec::new();
         let mut now = 0.0;
         for _ in 0..400 {
             now += f64::from(random.rand_range(0..5));
-            let (node, title) = (Node(random.rand_range(0..6).into()), Title(random.rand_range(0..6).into()));
+            let (node, title) =
+                (NodeId(random.rand_range(0..6).into()), TitleId(random.rand_range(0..6).into()));
             plain.retain(|(until, ..)| *until > at(now));
             m.tidy(at(now));
             match random.rand_range(0..8) {
@@ -58,8 +59,9 @@
             assert!(m.len() <= 16 && m.until.len() == m.order.len(), "seed {seed}");
             for n in 0..6 {
                 for t in 0..6 {
-                    let known = plain.iter().any(|&(_, node, title)| (node, title) == (Node(n), Title(t)));
-                    assert_eq!(m.lacks(Node(n), Title(t), at(now)), known, "seed {seed}");
+                    let known =
+                        plain.iter().any(|&(_, node, title)| (node, title) == (NodeId(n), TitleId(t)));
+                    assert_eq!(m.lacks(NodeId(n), TitleId(t), at(now)), known, "seed {seed}");
                 }
             }
         }
--- a/crates/director/src/attempt.rs
+++ b/crates/director/src/attempt.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use ashglade::ids::{Node, Sess, SetupNo};
-use ashglade::interface::Ending;
+use ashglade::ids::{NodeId, SessionId, SetupNumber};
+use ashglade::interface::AttemptOutcome;
 use ashglade::time::Instant;
 use ashglade_engine::{Input, Load};
 use ashglade_rtsp::client::{Answer, Client};
@@ -25,13 +25,13 @@
 /// How a SETUP came to nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    As(Ending),
+    As(AttemptOutcome),
     /// The node doesn't hold the title.
     Missing,
 }
 
 /// What the engine is told of a SETUP that has ended, and what is held if it started.
-pub fn told<T>(sess: Sess, setup: SetupNo, outcome: Outcome<T>) -> (Input, Option<T>) {
+pub fn told<T>(sess: SessionId, setup: SetupNumber, outcome: Outcome<T>) -> (Input, Option<T>) {
     match outcome {
         Ok((held, load)) => (Input::Started { sess, setup, load }, Some(held)),
         Err((End::As(how), load)) => (Input::Ended { sess, setup, how, load }, None),
@@ -41,7 +41,7 @@
 
 /// A SETUP that is out, by either front.
 pub struct Attempt<T> {
-    pub setup: SetupNo,
+    pub setup: SetupNumber,
     task: JoinHandle<Outcome<T>>,
     /// Set before the first byte is written.
     written: Arc<AtomicBool>,
@@ -49,8 +49,8 @@
 
 /// What the task that sends a SETUP says just before it writes the first byte.
 pub struct Begins {
-    pub sess: Sess,
-    pub setup: SetupNo,
+    pub sess: SessionId,
+    pub setup: SetupNumber,
     /// When the engine decided it.
     decided: Instant,
     written: Arc<AtomicBool>,
@@ -72,8 +72,8 @@
 
 impl<T: Send + 'static> Attempt<T> {
     pub fn start<F>(
-        sess: Sess,
-        setup: SetupNo,
+        sess: SessionId,
+        setup: SetupNumber,
         decided: Instant,
         send: impl FnOnce(Begins) -> F,
     ) -> Attempt<T>
@@ -91,7 +91,7 @@
 
     /// Waits for the end; may be dropped and called again.
     pub async fn ended(&mut self) -> Outcome<T> {
-        (&mut self.task).await.unwrap_or(Err((End::As(Ending::Lost), None)))
+        (&mut self.task).await.unwrap_or(Err((End::As(AttemptOutcome::Lost), None)))
     }
 
     /// Gives the SETUP up, by closing its connection, unless it has just ended by itself.
@@ -99,15 +99,15 @@
         self.task.abort();
         match self.task.await {
             Ok(outcome) => outcome,
-            Err(_) if self.written.load(Ordering::SeqCst) => Err((End::As(Ending::Cancelled), None)),
-            Err(_) => Err((End::As(Ending::Unsent), None)),
+            Err(_) if self.written.load(Ordering::SeqCst) => Err((End::As(AttemptOutcome::Cancelled), None)),
+            Err(_) => Err((End::As(AttemptOutcome::Unsent), None)),
         }
     }
 }
 
 /// What is to be set up where, by RTSP.
 pub struct Wanted {
-    pub node: Node,
+    pub node: NodeId,
     pub address: SocketAddr,
     pub url: Url,
     /// The track that the viewer begins with.
@@ -118,18 +118,19 @@
 pub async fn send(shared: Arc<Shared>, wanted: Wanted, begins: Begins) -> Outcome<Box<NodeSide>> {
     let Wanted { node, address, url, track } = wanted;
     let connection = shared.pool.connect(address, shared.settings.front.connect_timeout).await;
-    let connection = connection.map_err(|_| (End::As(Ending::Unreachable), None))?;
+    let connection = connection.map_err(|_| (End::As(AttemptOutcome::Unreachable), None))?;
     let mut client = Client::new(url);
     let request = client.setup(track, shared.clock.micros());
     if !begins.writing(&shared).await {
         shared.pool.put(address, connection);
-        return Err((End::As(Ending::Unsent), None));
+        return Err((End::As(AttemptOutcome::Unsent), None));
     }
-    let lost = |_| (End::As(Ending::Lost), None);
+    let lost = |_| (End::As(AttemptOutcome::Lost), None);
     let mut out = Unanswered(Some(connection));
     out.connection()?.send(Packet::Request(request)).await.map_err(lost)?;
     loop {
-        let packet = out.connection()?.next().await.ok_or((End::As(Ending::Lost), None))?.map_err(lost)?;
+        let packet =
+            out.connection()?.next().await.ok_or((End::As(AttemptOutcome::Lost), None))?.map_err(lost)?;
         let Packet::Response(response) = packet else { continue };
         let load = load(&response);
         match client.answered(&response) {
@@ -139,13 +140,13 @@
             }
             Answer::Refused(_, StatusCode::NotEnoughBandwidth | StatusCode::ServiceUnavailable) => {
                 shared.pool.put(address, out.answered()?);
-                return Err((End::As(Ending::Full), load));
+                return Err((End::As(AttemptOutcome::Full), load));
             }
             Answer::Refused(_, StatusCode::NotFound) => {
                 shared.pool.put(address, out.answered()?);
                 return Err((End::Missing, load));
             }
-            Answer::Refused(..) => return Err((End::As(Ending::Fault), load)),
+            Answer::Refused(..) => return Err((End::As(AttemptOutcome::Fault), load)),
             Answer::Stray => {}
         }
     }
@@ -157,11 +158,11 @@
 
 impl Unanswered {
     fn connection(&mut self) -> Result<&mut Connection, (End, Option<Load>)> {
-        self.0.as_mut().ok_or((End::As(Ending::Lost), None))
+        self.0.as_mut().ok_or((End::As(AttemptOutcome::Lost), None))
     }
 
     fn answered(&mut self) -> Result<Connection, (End, Option<Load>)> {
-        self.0.take().ok_or((End::As(Ending::Lost), None))
+        self.0.take().ok_or((End::As(AttemptOutcome::Lost), None))
     }
 }
 
--- a/crates/director/src/core.rs
+++ b/crates/director/src/core.rs
@@ -5,8 +5,8 @@
 use std::io::Write;
 use std::path::PathBuf;
 
-use ashglade::ids::{Node, Sess};
-use ashglade::interface::Ending;
+use ashglade::ids::{NodeId, SessionId};
+use ashglade::interface::AttemptOutcome;
 use ashglade::time::Instant;
 use ashglade_clock::Clock;
 use ashglade_engine::record::{Head, Line};
@@ -60,7 +60,7 @@
 struct Loop {
     engine: Engine,
     with: With,
-    sessions: HashMap<Sess, mpsc::Sender<Order>>,
+    sessions: HashMap<SessionId, mpsc::Sender<Order>>,
     /// What came of the last round's effects at once.
     next: Vec<Input>,
     record: Option<std::io::BufWriter<std::fs::File>>,
@@ -184,7 +184,7 @@
 
     /// What nodes lost by starting again is not owed any longer.
     fn nodes_started(&mut self) {
-        let starts: Vec<(Node, Instant)> =
+        let starts: Vec<(NodeId, Instant)> =
             self.engine.roster().nodes().filter_map(|(&n, entry)| Some((n, entry.place.started?))).collect();
         for (node, at) in starts {
             for key in self.book.ledger.started(node, at) {
@@ -218,7 +218,7 @@
                     self.order(sess, Order::Setup { setup, node, address, http, rung, decided: now })
                 });
                 if !sent {
-                    self.next.push(Input::Ended { sess, setup, how: Ending::Unsent, load: None });
+                    self.next.push(Input::Ended { sess, setup, how: AttemptOutcome::Unsent, load: None });
                 }
             }
             Effect::Withdraw { sess, setup, if_unsent } => {
@@ -238,7 +238,7 @@
             // These fronts have no word for coming again: the session ends.
             Effect::SendBack { sess } => {
                 self.order(sess, Order::Release);
-                self.next.push(Input::Over { sess, how: Ending::Cancelled });
+                self.next.push(Input::Over { sess, how: AttemptOutcome::Cancelled });
             }
             Effect::Probe { probe, node } => {
                 let address = self.engine.roster().entry(node).map(|entry| entry.address);
@@ -262,7 +262,7 @@
     }
 
     /// Hands an order to the session's task; false where that is gone or doesn't take orders.
-    fn order(&mut self, sess: Sess, order: Order) -> bool {
+    fn order(&mut self, sess: SessionId, order: Order) -> bool {
         let Some(orders) = self.sessions.get(&sess) else { return false };
         match orders.try_send(order) {
             Ok(()) => true,
--- a/crates/director/src/hls/fetch.rs
+++ b/crates/director/src/hls/fetch.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use ashglade::ids::Node;
-use ashglade::interface::Ending;
+use ashglade::ids::NodeId;
+use ashglade::interface::AttemptOutcome;
 use ashglade_engine::Load;
 use ashglade_hls::Variant;
 use ashglade_hls::playlist::{self, MOST_BYTES, Place};
@@ -25,7 +25,7 @@
 /// A session that its node has accepted.
 pub struct Accepted {
     /// Where the node serves HLS, and the address by which lists know it.
-    pub node: (Node, SocketAddr, SocketAddr),
+    pub node: (NodeId, SocketAddr, SocketAddr),
     /// Its multivariant playlist, and what that names.
     pub master: Bytes,
     pub variants: Vec<Variant>,
@@ -48,35 +48,35 @@
 /// Sends a SETUP by HTTP.
 pub async fn send(
     shared: Arc<Shared>,
-    node: (Node, SocketAddr, SocketAddr),
+    node: (NodeId, SocketAddr, SocketAddr),
     url: Url,
     begins: Begins,
 ) -> Outcome<Accepted> {
     let within = shared.settings.front.connect_timeout;
     let connected = tokio::time::timeout(within, TcpStream::connect(node.1)).await;
-    let Ok(Ok(stream)) = connected else { return Err((End::As(Ending::Unreachable), None)) };
+    let Ok(Ok(stream)) = connected else { return Err((End::As(AttemptOutcome::Unreachable), None)) };
     let _ = stream.set_nodelay(true);
-    let request = request(&url).ok_or((End::As(Ending::Unsent), None))?;
+    let request = request(&url).ok_or((End::As(AttemptOutcome::Unsent), None))?;
     let shake = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
-    let (mut sender, connection) = shake.map_err(|_| (End::As(Ending::Unreachable), None))?;
+    let (mut sender, connection) = shake.map_err(|_| (End::As(AttemptOutcome::Unreachable), None))?;
     // Ends with this task: to give the SETUP up closes its connection.
     let driver = tokio::spawn(connection);
     let _abort = AbortOnDrop(driver.abort_handle());
     if !begins.writing(&shared).await {
-        return Err((End::As(Ending::Unsent), None));
+        return Err((End::As(AttemptOutcome::Unsent), None));
     }
-    let response = sender.send_request(request).await.map_err(|_| (End::As(Ending::Lost), None))?;
+    let response = sender.send_request(request).await.map_err(|_| (End::As(AttemptOutcome::Lost), None))?;
     let load = load_of(&response);
     match response.status() {
         StatusCode::OK => {}
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
-            return Err((End::As(Ending::Full), load));
+            return Err((End::As(AttemptOutcome::Full), load));
         }
         StatusCode::NOT_FOUND => return Err((End::Missing, load)),
-        _ => return Err((End::As(Ending::Fault), load)),
+        _ => return Err((End::As(AttemptOutcome::Fault), load)),
     }
     let body = Limited::new(response.into_body(), MOST_BYTES).collect().await;
-    let master = body.map_err(|_| (End::As(Ending::Lost), load))?.to_bytes();
+    let master = body.map_err(|_| (End::As(AttemptOutcome::Lost), load))?.to_bytes();
     // One that can't be given to a player is a fault of the node's.
     let folder = folder(&url);
     let place = Place { url: &url, folder: &folder };
@@ -84,7 +84,7 @@
         Ok(read) => Ok((Accepted { node, master, variants: read.variants }, load)),
         Err(trouble) => {
             tracing::warn!(node = %node.1, %trouble, "a multivariant playlist can't be used");
-            Err((End::As(Ending::Fault), load))
+            Err((End::As(AttemptOutcome::Fault), load))
         }
     }
 }
--- a/crates/director/src/hls/mod.rs
+++ b/crates/director/src/hls/mod.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use ashglade::ids::{Sess, Title};
+use ashglade::ids::{SessionId, TitleId};
 use ashglade_engine::Input;
 use ashglade_hls::{Ask, Forged, Key, Keys, Token};
 use ashglade_settings::Hls;
@@ -52,7 +52,7 @@
     pub shared: Arc<Shared>,
     pub keys: Keys,
     pub token_life: Duration,
-    sessions: Mutex<HashMap<Sess, mpsc::Sender<Job>>>,
+    sessions: Mutex<HashMap<SessionId, mpsc::Sender<Job>>>,
 }
 
 /// Serves until the listener's task is dropped.
@@ -159,7 +159,7 @@
                 return refused;
             }
         } else {
-            let (token, job) = match self.job(Title(known.id), rest, &request, reply) {
+            let (token, job) = match self.job(TitleId(known.id), rest, &request, reply) {
                 Ok(found) => found,
                 Err(forged) => return plain(StatusCode::FORBIDDEN, &forged.to_string()),
             };
@@ -183,7 +183,7 @@
     /// What a path with a token asks for, if both were signed here.
     fn job(
         &self,
-        title: Title,
+        title: TitleId,
         rest: &str,
         request: &Request<Incoming>,
         reply: oneshot::Sender<Reply>,
@@ -202,7 +202,7 @@
     }
 
     /// The session's own URI of a path at its node.
-    pub fn give(&self, title: &str, token: &str, sess: Sess, ask: Ask, path: &str) -> String {
+    pub fn give(&self, title: &str, token: &str, sess: SessionId, ask: Ask, path: &str) -> String {
         let signature = self.keys.sign_path(sess, &format!("{ask}/{path}"));
         format!("/{title}/{token}/{ask}-{signature}/{path}")
     }
@@ -246,7 +246,7 @@
         };
         let held = |this: &Front| this.sessions.lock().unwrap_or_else(|broken| broken.into_inner()).len();
         if held(self) >= settings.most_sessions {
-            return Err(busy("too many sessions", settings.headend.retry_after.map(|s| s.as_ms() / 1e3)));
+            return Err(busy("too many sessions", settings.headend.max_retry_after.map(|s| s.as_ms() / 1e3)));
         }
         self.sessions.lock().unwrap_or_else(|broken| broken.into_inner()).insert(sess, jobs);
         self.shared.core.send(Command::Open { input: Input::Asked { sess, want }, sess, orders }).await;
--- a/crates/director/src/hls/session.rs
+++ b/crates/director/src/hls/session.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashglade::ids::{Rung, Sess, SetupNo};
-use ashglade::interface::{Care, Ending};
+use ashglade::ids::{Rung, SessionId, SetupNumber};
+use ashglade::interface::{AttemptOutcome, RetrySafety};
 use ashglade::time::Instant;
 use ashglade_engine::{Answer, Input, Want};
 use ashglade_hls::playlist::{self, Place};
@@ -52,7 +52,7 @@
     signed: String,
     want: Want,
     /// The session as the engine knows it: another than the token's once its node was lost.
-    sess: Sess,
+    sess: SessionId,
     orders: mpsc::Receiver<Order>,
     state: Session,
     attempt: Option<Attempt<Accepted>>,
@@ -176,7 +176,7 @@
 
     fn rate(&self, rung: Rung) -> f64 {
         let headend = &self.front.shared.settings.headend;
-        let scale = headend.groups.get(self.want.group.0).map_or(1.0, |group| group.scale);
+        let scale = headend.groups.get(self.want.group.0).map_or(1.0, |group| group.rate_scale);
         headend.ladder.get(usize::from(rung.0)).map_or(0.0, |&(kb, _)| kb * scale)
     }
 
@@ -191,7 +191,8 @@
                         self.attempt = Some(Attempt::start(self.sess, setup, decided, send));
                     }
                     _ => {
-                        let input = Input::Ended { sess: self.sess, setup, how: Ending::Unsent, load: None };
+                        let input =
+                            Input::Ended { sess: self.sess, setup, how: AttemptOutcome::Unsent, load: None };
                         shared.core.tell(input).await;
                     }
                 }
@@ -244,7 +245,7 @@
         }
     }
 
-    async fn tell(&mut self, setup: SetupNo, outcome: Outcome<Accepted>) {
+    async fn tell(&mut self, setup: SetupNumber, outcome: Outcome<Accepted>) {
         let (input, held) = attempt::told(self.sess, setup, outcome);
         self.held = held.or(self.held.take());
         self.front.shared.core.tell(input).await;
@@ -422,14 +423,14 @@
             return;
         }
         let shared = self.front.shared.clone();
-        let how = if lost == Lost::Node { Ending::Lost } else { Ending::Silent };
+        let how = if lost == Lost::Node { AttemptOutcome::Lost } else { AttemptOutcome::Silent };
         info!(sess = self.sess.0, ?how, "broken");
         shared.core.tell(Input::Over { sess: self.sess, how }).await;
         shared.core.send(Command::Close(self.sess)).await;
         self.held = None;
         self.kept.clear();
-        let care = shared.settings.headend.groups.get(self.want.group.0).map(|group| group.care);
-        if care != Some(Care::Safe) {
+        let care = shared.settings.headend.groups.get(self.want.group.0).map(|group| group.retry_safety);
+        if care != Some(RetrySafety::Safe) {
             self.state.over();
         }
     }
--- a/crates/director/src/node.rs
+++ b/crates/director/src/node.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use ashglade::ids::{Node, Sess};
+use ashglade::ids::{NodeId, SessionId};
 use ashglade::time::Span;
 use ashglade_ledger::Held;
 use ashglade_rtsp::client::{Answer, Client, Purpose};
@@ -17,19 +17,19 @@
 use crate::shared::Shared;
 
 pub struct NodeSide {
-    pub node: Node,
+    pub node: NodeId,
     pub address: SocketAddr,
     pub client: Client,
     connection: Connection,
     /// Its line in the ledger.
-    key: Sess,
+    key: SessionId,
 }
 
 impl NodeSide {
     /// A session that the node has just set up; it is written down.
     pub async fn hold(
         shared: &Shared,
-        (node, address): (Node, SocketAddr),
+        (node, address): (NodeId, SocketAddr),
         connection: Connection,
         client: Client,
     ) -> NodeSide {
--- a/crates/director/src/orders.rs
+++ b/crates/director/src/orders.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
-use ashglade::ids::{Node, Rung, Sess, SetupNo};
-use ashglade::interface::Ending;
+use ashglade::ids::{NodeId, Rung, SessionId, SetupNumber};
+use ashglade::interface::AttemptOutcome;
 use ashglade::time::Instant;
 use ashglade_engine::{Answer, Input, Tally};
 use ashglade_ledger::{Call, Held, Outcome};
@@ -18,15 +18,15 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Order {
     Setup {
-        setup: SetupNo,
-        node: Node,
+        setup: SetupNumber,
+        node: NodeId,
         address: SocketAddr,
         http: Option<SocketAddr>,
         rung: Rung,
         decided: Instant,
     },
     Withdraw {
-        setup: SetupNo,
+        setup: SetupNumber,
         if_unsent: bool,
     },
     Answer(Answer),
@@ -39,21 +39,21 @@
     /// A viewer asks for a session; its orders go to this channel from now on.
     Open {
         input: Input,
-        sess: Sess,
+        sess: SessionId,
         orders: mpsc::Sender<Order>,
     },
     /// The session's task needs no more orders.
-    Close(Sess),
+    Close(SessionId),
     Tally(oneshot::Sender<(Tally, usize)>),
     Page(Page),
 }
 
 /// What concerns the ledger of sessions at nodes.
 pub enum Page {
-    Hold(Sess, Held),
-    Ended(Sess),
-    Owe(Sess),
-    Told(Sess, Outcome),
+    Hold(SessionId, Held),
+    Ended(SessionId),
+    Owe(SessionId),
+    Told(SessionId, Outcome),
 }
 
 /// What the engine's task wants done at a node, by whoever has the means.
@@ -97,11 +97,11 @@
 }
 
 /// The session's task needs no more orders. A SETUP that was ordered and not yet begun never ran.
-pub async fn close(core: &Core, sess: Sess, orders: &mut mpsc::Receiver<Order>) {
+pub async fn close(core: &Core, sess: SessionId, orders: &mut mpsc::Receiver<Order>) {
     orders.close();
     while let Ok(order) = orders.try_recv() {
         if let Order::Setup { setup, .. } = order {
-            core.tell(Input::Ended { sess, setup, how: Ending::Unsent, load: None }).await;
+            core.tell(Input::Ended { sess, setup, how: AttemptOutcome::Unsent, load: None }).await;
         }
     }
     core.send(Command::Close(sess)).await;
--- a/crates/director/src/serve.rs
+++ b/crates/director/src/serve.rs
@@ -72,7 +72,7 @@
             groups: door.shares.iter().copied().zip(headend.groups.iter().map(|g| g.utility)).collect(),
             tenants: door.tenants.iter().map(|&(_, share)| share).collect(),
             target: headend.groups.iter().map(|g| g.start_target).min().unwrap_or(Span::from_secs(1.0)),
-            retry_after: headend.retry_after,
+            retry_after: headend.max_retry_after,
             most_waiting: door.most_waiting,
             hands: door.hands,
         }),
@@ -103,7 +103,7 @@
     };
     let talk = match &settings.talk {
         Some(talk) => {
-            let address = talk.peers[settings.headend.me];
+            let address = talk.peers[settings.headend.director_index];
             let socket = UdpSocket::bind(address).await;
             Some(socket.map_err(|source| Trouble::Listen { address, source })?)
         }
@@ -154,7 +154,7 @@
     if let Some(talk) = talk {
         tokio::spawn(ashglade_peer_transport::run(talk, shared.core.clone()));
     }
-    info!(%address, director = settings.headend.me, nodes = list.entries.len(), "serving");
+    info!(%address, director = settings.headend.director_index, nodes = list.entries.len(), "serving");
 
     // Beyond the bound viewers wait in the kernel's queue: nothing of theirs has been taken.
     let places = Arc::new(Semaphore::new(settings.front.most_connections));
--- a/crates/director/src/session.rs
+++ b/crates/director/src/session.rs
@@ -1,6 +1,6 @@
 //! One session of a viewer's connection: its SETUP that is out, its node, and the media of its tracks on their way.
 
-use ashglade::ids::Sess;
+use ashglade::ids::SessionId;
 use ashglade_rtsp::presentation::{self, Asked};
 use ashglade_rtsp::rewrite::{Meter, Rewriter};
 use ashglade_rtsp::rtcp::{self, Heard};
@@ -14,7 +14,7 @@
 
 /// A session, from its request to its end.
 pub struct Live {
-    pub sess: Sess,
+    pub sess: SessionId,
     pub asked: Asked,
     pub orders: mpsc::Receiver<Order>,
     pub attempt: Option<Attempt<Box<NodeSide>>>,
@@ -51,7 +51,7 @@
 }
 
 impl Live {
-    pub fn new(shared: &Shared, sess: Sess, asked: Asked, orders: mpsc::Receiver<Order>) -> Live {
+    pub fn new(shared: &Shared, sess: SessionId, asked: Asked, orders: mpsc::Receiver<Order>) -> Live {
         let track = |&rate: &u32| Track {
             rewriter: Rewriter::new(shared.random() as u32, rate),
             meter: Meter::new(rate, shared.clock.micros()),
--- a/crates/director/src/shared.rs
+++ b/crates/director/src/shared.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 
-use ashglade::ids::{Group, Rung, Sess};
+use ashglade::ids::{GroupId, Rung, SessionId};
 use ashglade_clock::Clock;
 use ashglade_engine::Want;
 use ashglade_rtsp::digest::Users;
@@ -36,8 +36,8 @@
 
 impl Shared {
     /// A number that no other session has, also not of the director before this one.
-    pub fn new_sess(&self) -> Sess {
-        Sess(self.next_sess.fetch_add(1, Ordering::Relaxed))
+    pub fn new_sess(&self) -> SessionId {
+        SessionId(self.next_sess.fetch_add(1, Ordering::Relaxed))
     }
 
     /// What a viewer asks for, by either front. Clients and tenants are told by the query elements that settings name;
@@ -45,7 +45,7 @@
     pub fn want(
         &self,
         title: &Title,
-        group: Group,
+        group: GroupId,
         top: u8,
         element: impl Fn(&str) -> Option<String>,
         peer: impl FnOnce() -> String,
@@ -58,7 +58,7 @@
         client.unwrap_or_else(peer).hash(&mut hasher);
         Want {
             group,
-            title: ashglade::ids::Title(title.id),
+            title: ashglade::ids::TitleId(title.id),
             top: Rung(top.min(settings.top_rung())),
             home: title.home,
             copies: title.copies,
--- a/crates/director/src/viewer.rs
+++ b/crates/director/src/viewer.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashglade::ids::{Rung, SetupNo};
-use ashglade::interface::Ending;
+use ashglade::ids::{Rung, SetupNumber};
+use ashglade::interface::AttemptOutcome;
 use ashglade_engine::{Answer, Input};
 use ashglade_rtsp::client::{self, Purpose};
 use ashglade_rtsp::codec::FRAME_HEADER;
@@ -144,7 +144,7 @@
                 }
             }
             Event::Node(Some(Ok(packet))) => self.node_sent(packet).await?,
-            Event::Node(_) => self.node_lost(Ending::Lost).await?,
+            Event::Node(_) => self.node_lost(AttemptOutcome::Lost).await?,
             Event::Setup(outcome) => self.setup_ended(outcome).await,
             Event::Order(Some(order)) => self.order(order).await?,
             Event::Order(None) => return Err(Closed),
@@ -209,7 +209,7 @@
         };
         match sent {
             Ok(()) => Ok(()),
-            Err(_) => self.node_lost(Ending::Lost).await,
+            Err(_) => self.node_lost(AttemptOutcome::Lost).await,
         }
     }
 
@@ -249,7 +249,10 @@
                         live.attempt = Some(Attempt::start(sess, setup, decided, send));
                     }
                     None => {
-                        shared.core.tell(Input::Ended { sess, setup, how: Ending::Unsent, load: None }).await;
+                        shared
+                            .core
+                            .tell(Input::Ended { sess, setup, how: AttemptOutcome::Unsent, load: None })
+                            .await;
                     }
                 }
                 Ok(())
@@ -322,7 +325,7 @@
         live.told = to;
         match node.switch(&shared, from, url).await {
             Ok(()) => Ok(()),
-            Err(_) => self.node_lost(Ending::Lost).await,
+            Err(_) => self.node_lost(AttemptOutcome::Lost).await,
         }
     }
 
@@ -333,7 +336,7 @@
         }
     }
 
-    async fn tell_outcome(&mut self, setup: SetupNo, outcome: Outcome<Box<NodeSide>>) {
+    async fn tell_outcome(&mut self, setup: SetupNumber, outcome: Outcome<Box<NodeSide>>) {
         let Some(live) = &mut self.live else { return };
         let (input, node) = attempt::told(live.sess, setup, outcome);
         live.node = node.or(live.node.take());
@@ -357,7 +360,7 @@
                 Some(Some(Ok(next))) => packet = next,
                 Some(_) => {
                     self.flush().await?;
-                    return self.node_lost(Ending::Lost).await;
+                    return self.node_lost(AttemptOutcome::Lost).await;
                 }
                 None => break,
             }
@@ -390,7 +393,7 @@
         self.flush().await?;
         let Some(mut live) = self.live.take() else { return Ok(()) };
         info!(sess = live.sess.0, "played out");
-        self.shared.core.tell(Input::Over { sess: live.sess, how: Ending::Played }).await;
+        self.shared.core.tell(Input::Over { sess: live.sess, how: AttemptOutcome::Played }).await;
         if let Some(node) = live.node.take() {
             tokio::spawn(node.tear_down(self.shared.clone()));
         }
@@ -430,7 +433,7 @@
     }
 
     /// The node's connection is gone, or it doesn't answer: the session is over, the viewer's connection isn't.
-    async fn node_lost(&mut self, how: Ending) -> Result<(), Closed> {
+    async fn node_lost(&mut self, how: AttemptOutcome) -> Result<(), Closed> {
         let Some(live) = &mut self.live else { return Ok(()) };
         let Some(node) = live.node.take() else { return Ok(()) };
         info!(sess = live.sess.0, ?how, node = %node.address, "broken");
@@ -467,7 +470,7 @@
         }
         let Some(live) = &mut self.live else { return Ok(()) };
         if live.node.as_ref().is_some_and(|node| node.overdue(&shared)) {
-            return self.node_lost(Ending::Silent).await;
+            return self.node_lost(AttemptOutcome::Silent).await;
         }
         if self.server.state() == State::Playing
             && let Some(share) =
@@ -479,7 +482,7 @@
         if live.kept_alive.elapsed() >= front.keep_alive {
             live.kept_alive = Instant::now();
             if node.keep_alive(&shared).await.is_err() {
-                return self.node_lost(Ending::Lost).await;
+                return self.node_lost(AttemptOutcome::Lost).await;
             }
         }
         Ok(())
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -8,8 +8,8 @@
 use std::hash::Hasher;
 use std::net::SocketAddr;
 
-use ashglade::ids::Node;
-use ashglade::interface::Place;
+use ashglade::ids::NodeId;
+use ashglade::interface::NodeInfo;
 use ashglade::time::Instant;
 use serde::{Deserialize, Serialize};
 
@@ -31,26 +31,26 @@
     /// Tells the node where directors reach it by different addresses; its address does if left out.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub id: Option<String>,
-    pub place: Place,
+    pub place: NodeInfo,
     pub standing: Standing,
 }
 
 impl Entry {
-    pub fn node(&self) -> Node {
+    pub fn node(&self) -> NodeId {
         self.id.as_ref().map_or_else(|| id_of(&self.address), |id| hash(id))
     }
 }
 
 /// A media node's id: the same at every director and after a restart, as directors that take turns at a cold
 /// node must agree on it. Keyed by nothing, so that it also is the same from one release to the next.
-pub fn id_of(address: &SocketAddr) -> Node {
+pub fn id_of(address: &SocketAddr) -> NodeId {
     hash(&address.to_string())
 }
 
-fn hash(text: &str) -> Node {
+fn hash(text: &str) -> NodeId {
     let mut hasher = siphasher::sip::SipHasher13::new();
     hasher.write(text.as_bytes());
-    Node(hasher.finish())
+    NodeId(hasher.finish())
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -92,7 +92,7 @@
 pub struct Roster {
     held: Option<List>,
     /// Every node ever named, with what was last told: connections to nodes that drain go on.
-    nodes: BTreeMap<Node, Entry>,
+    nodes: BTreeMap<NodeId, Entry>,
 }
 
 impl Roster {
@@ -100,11 +100,11 @@
         self.held.as_ref()
     }
 
-    pub fn entry(&self, node: Node) -> Option<&Entry> {
+    pub fn entry(&self, node: NodeId) -> Option<&Entry> {
         self.nodes.get(&node)
     }
 
-    pub fn nodes(&self) -> impl Iterator<Item = (&Node, &Entry)> {
+    pub fn nodes(&self) -> impl Iterator<Item = (&NodeId, &Entry)> {
         self.nodes.iter()
     }
 
@@ -124,7 +124,7 @@
             }
         }
         let mut changes = Changes::default();
-        let mut left: BTreeSet<Node> =
+        let mut left: BTreeSet<NodeId> =
             self.nodes.iter().filter(|(_, e)| e.standing != Standing::Gone).map(|(&node, _)| node).collect();
         for entry in &list.entries {
             let node = entry.node();
@@ -150,7 +150,7 @@
     }
 }
 
-fn started(place: &Place) -> Instant {
+fn started(place: &NodeInfo) -> Instant {
     place.started.unwrap_or(Instant::LONG_AGO)
 }
 
--- a/crates/discovery/src/tests.rs
+++ b/crates/discovery/src/tests.rs
@@ -1,10 +1,10 @@
-use ashglade::ids::{Cell, Model, Zone};
+use ashglade::ids::{CellId, ModelId, ZoneId};
 use expect_test::expect;
 
 use super::*;
 
 fn entry(n: u16, standing: Standing) -> Entry {
-    let place = Place { zone: Zone(0), model: Model(0), cell: Cell(n), weight: 1.0, started: None };
+    let place = NodeInfo { zone: ZoneId(0), model: ModelId(0), cell: CellId(n), weight: 1.0, started: None };
     Entry {
         name: format!("n{n}"),
         address: ([127, 0, 0, 1], 9000 + n).into(),
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -193,7 +193,7 @@
     }
 
     /// Nodes that this source has as ready.
-    fn ready_of(&self, source: Source) -> Vec<ashglade::ids::Node> {
+    fn ready_of(&self, source: Source) -> Vec<ashglade::ids::NodeId> {
         let entries = self.sources[source].list.iter().flat_map(|list| &list.entries);
         entries.filter(|entry| entry.standing == Standing::Ready).map(Entry::node).collect()
     }
--- a/crates/discovery/src/watch_test.rs
+++ b/crates/discovery/src/watch_test.rs
@@ -1,5 +1,5 @@
-use ashglade::ids::{Cell, Model, Zone};
-use ashglade::interface::Place;
+use ashglade::ids::{CellId, ModelId, ZoneId};
+use ashglade::interface::NodeInfo;
 use ashglade::time::{Instant, Span};
 use expect_test::expect;
 
@@ -11,7 +11,7 @@
 }
 
 fn entry(n: u16, standing: Standing) -> Entry {
-    let place = Place { zone: Zone(0), model: Model(0), cell: Cell(n), weight: 1.0, started: None };
+    let place = NodeInfo { zone: ZoneId(0), model: ModelId(0), cell: CellId(n), weight: 1.0, started: None };
     Entry {
         name: format!("n{n}"),
         address: ([10, 0, (n >> 8) as u8, n as u8], 554).into(),
--- a/crates/engine/src/answers.rs
+++ b/crates/engine/src/answers.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use ashglade::ids::{Group, Node, Rung, Sess, Title};
+use ashglade::ids::{GroupId, NodeId, Rung, SessionId, TitleId};
 use ashglade::time::Instant;
 use serde::Serialize;
 
@@ -14,8 +14,8 @@
 /// A session in hand, from its request to its last ending.
 #[derive(Debug)]
 pub struct Hand {
-    pub group: Group,
-    pub title: Title,
+    pub group: GroupId,
+    pub title: TitleId,
     /// The answer must be out by then.
     pub answer_by: Instant,
     pub answered: bool,
@@ -25,7 +25,7 @@
     pub at_door: Option<Want>,
     pub setups: u16,
     pub out: Option<Out>,
-    pub plays_at: Option<Node>,
+    pub plays_at: Option<NodeId>,
     pub rung: Rung,
 }
 
@@ -64,24 +64,24 @@
 
 #[derive(Debug, Default)]
 pub struct Hands {
-    all: BTreeMap<Sess, Hand>,
+    all: BTreeMap<SessionId, Hand>,
     pub tally: Tally,
 }
 
 impl Hands {
-    pub fn get(&self, sess: Sess) -> Option<&Hand> {
+    pub fn get(&self, sess: SessionId) -> Option<&Hand> {
         self.all.get(&sess)
     }
 
-    pub fn get_mut(&mut self, sess: Sess) -> Option<&mut Hand> {
+    pub fn get_mut(&mut self, sess: SessionId) -> Option<&mut Hand> {
         self.all.get_mut(&sess)
     }
 
-    pub fn insert(&mut self, sess: Sess, hand: Hand) {
+    pub fn insert(&mut self, sess: SessionId, hand: Hand) {
         self.all.insert(sess, hand);
     }
 
-    pub fn remove(&mut self, sess: Sess) {
+    pub fn remove(&mut self, sess: SessionId) {
         self.all.remove(&sess);
     }
 
@@ -93,17 +93,17 @@
         self.all.is_empty()
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (Sess, &Hand)> {
+    pub fn iter(&self) -> impl Iterator<Item = (SessionId, &Hand)> {
         self.all.iter().map(|(&sess, hand)| (sess, hand))
     }
 
-    pub fn iter_mut(&mut self) -> impl Iterator<Item = (Sess, &mut Hand)> {
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = (SessionId, &mut Hand)> {
         self.all.iter_mut().map(|(&sess, hand)| (sess, hand))
     }
 
     /// Notes the answer; true if it is the first and the viewer is there to hear it. A session that was refused
     /// and has no SETUP out is no longer in hand.
-    pub fn answer(&mut self, sess: Sess, answer: &Answer) -> bool {
+    pub fn answer(&mut self, sess: SessionId, answer: &Answer) -> bool {
         let Some(hand) = self.all.get_mut(&sess) else { return false };
         let first = !hand.answered && !hand.left;
         hand.answered = true;
--- a/crates/engine/src/desk.rs
+++ b/crates/engine/src/desk.rs
@@ -1,7 +1,7 @@
 //! The module's writer: turns its decisions into effects, and notes what they mean for sessions in hand.
 
-use ashglade::ids::{Node, Rung, Sess, SetupNo, Ticket};
-use ashglade::interface::Writer;
+use ashglade::ids::{NodeId, Rung, SessionId, SetupNumber, TimerId};
+use ashglade::interface::DecisionSink;
 use ashglade::time::{Instant, Span};
 use ashglade_catalogue::Missing;
 
@@ -16,29 +16,29 @@
     pub timers: &'a mut Timers,
     pub effects: &'a mut Vec<Effect>,
     /// Probes out, by number, and the time each may take.
-    pub probes: &'a mut std::collections::BTreeMap<u64, Node>,
+    pub probes: &'a mut std::collections::BTreeMap<u64, NodeId>,
     pub next_probe: &'a mut u64,
     pub probe_timeout: Span,
     pub missing: &'a Missing,
 }
 
 impl Desk<'_> {
-    fn answer(&mut self, sess: Sess, answer: Answer) {
+    fn answer(&mut self, sess: SessionId, answer: Answer) {
         if self.hands.answer(sess, &answer) {
             self.effects.push(Effect::Answer { sess, answer });
         }
     }
 }
 
-impl Writer for Desk<'_> {
-    fn setup(&mut self, sess: Sess, node: Node, until: Instant) {
+impl DecisionSink for Desk<'_> {
+    fn send_setup(&mut self, sess: SessionId, node: NodeId, until: Instant) {
         let Some(hand) = self.hands.get_mut(sess) else { return };
         if hand.out.is_some() {
             // Never two out for a session, whoever asks.
             self.hands.tally.doubled += 1;
             return;
         }
-        let setup = SetupNo(hand.setups);
+        let setup = SetupNumber(hand.setups);
         hand.setups += 1;
         hand.out = Some(Out::new(setup, node, hand.rung, until));
         let (rung, title) = (hand.rung, hand.title);
@@ -53,7 +53,7 @@
         self.effects.push(Effect::Setup { sess, setup, node, rung, until });
     }
 
-    fn rung(&mut self, sess: Sess, rung: Rung) {
+    fn set_rung(&mut self, sess: SessionId, rung: Rung) {
         let Some(hand) = self.hands.get_mut(sess) else { return };
         let changed = std::mem::replace(&mut hand.rung, rung) != rung;
         if changed && hand.plays_at.is_some() {
@@ -62,22 +62,22 @@
         }
     }
 
-    fn busy(&mut self, sess: Sess, retry_after: Option<Span>) {
+    fn reply_busy(&mut self, sess: SessionId, retry_after: Option<Span>) {
         self.answer(sess, Answer::Busy { retry_after, why: Why::NoRoom });
     }
 
-    fn tear_down(&mut self, sess: Sess) {
+    fn tear_down(&mut self, sess: SessionId) {
         self.answer(sess, Answer::TornDown);
     }
 
-    fn cancel(&mut self, sess: Sess, setup: SetupNo) {
+    fn cancel_setup(&mut self, sess: SessionId, setup: SetupNumber) {
         let out = self.hands.get_mut(sess).and_then(|hand| hand.out.as_mut());
         if out.filter(|out| out.setup == setup).is_some_and(|out| out.withdraw(Withdrawn::ViewerLeft)) {
             self.effects.push(Effect::Withdraw { sess, setup, if_unsent: false });
         }
     }
 
-    fn probe(&mut self, node: Node) {
+    fn probe_node(&mut self, node: NodeId) {
         let probe = *self.next_probe;
         *self.next_probe += 1;
         self.probes.insert(probe, node);
@@ -86,11 +86,11 @@
         self.effects.push(Effect::Probe { probe, node });
     }
 
-    fn wake(&mut self, ticket: Ticket, after: Span) {
+    fn set_timer(&mut self, ticket: TimerId, after: Span) {
         self.timers.at(self.now + after, Timer::Wake(ticket));
     }
 
-    fn send_back(&mut self, sess: Sess) {
+    fn reconnect_viewer(&mut self, sess: SessionId) {
         // It is over once the shell tells so.
         if self.hands.get(sess).is_some_and(|hand| hand.plays_at.is_some()) {
             self.effects.push(Effect::SendBack { sess });
@@ -98,5 +98,5 @@
     }
 
     /// The list comes by itself.
-    fn follow_list(&mut self, _on: bool) {}
+    fn watch_node_list(&mut self, _on: bool) {}
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use ashglade::ids::{Node, Sess, SetupNo};
-use ashglade::interface::{Ending, Headend, Viewing};
+use ashglade::ids::{NodeId, SessionId, SetupNumber};
+use ashglade::interface::{AttemptOutcome, DirectorConfig, SessionRequest};
 use ashglade::policy::{Director, Round};
 use ashglade::time::{Instant, Span};
 use ashglade_admission::{Came, Door, Request, Terms, Verdict};
@@ -20,7 +20,7 @@
 /// What an engine is started with.
 #[derive(Clone, Debug)]
 pub struct Start {
-    pub headend: Headend,
+    pub headend: DirectorConfig,
     /// Kept of each setup timeout for the way of the answer.
     pub answer_margin: Span,
     pub probe_timeout: Span,
@@ -41,14 +41,14 @@
     start: Start,
     roster: Roster,
     /// Nodes that the last numbered events told as ready.
-    ready: BTreeSet<Node>,
+    ready: BTreeSet<NodeId>,
     door: Option<Door>,
     /// What nodes were found not to hold.
     missing: Missing,
     hands: Hands,
     timers: Timers,
     notes: Notes,
-    probes: BTreeMap<u64, Node>,
+    probes: BTreeMap<u64, NodeId>,
     next_probe: u64,
     door_due: Option<Instant>,
     draining: bool,
@@ -64,28 +64,28 @@
 /// What came of a SETUP at a node: it started, or how it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Seen {
-    pub node: Node,
-    pub ended: Option<Ending>,
+    pub node: NodeId,
+    pub ended: Option<AttemptOutcome>,
 }
 
 /// One piece of news for the module, in its words.
 enum News {
     List,
     Told(bool, Vec<Told>),
-    UnderWay(Sess, Viewing, Node),
-    WentOn(Node),
+    UnderWay(SessionId, SessionRequest, NodeId),
+    WentOn(NodeId),
     Turns(Vec<usize>, usize),
     Repeats(usize, Span),
-    Doubted(Vec<Node>),
-    Asked(Sess, Viewing),
-    Left(Sess),
-    Started(Sess, SetupNo, Node),
-    Ended(Sess, SetupNo, Node, Ending, bool),
-    Stays(Sess, ashglade::ids::Rung),
-    Delivered(Node, f64),
-    Load(Node, Load),
-    Probed(Node, bool),
-    Woke(ashglade::ids::Ticket),
+    Doubted(Vec<NodeId>),
+    Asked(SessionId, SessionRequest),
+    Left(SessionId),
+    Started(SessionId, SetupNumber, NodeId),
+    Ended(SessionId, SetupNumber, NodeId, AttemptOutcome, bool),
+    Stays(SessionId, ashglade::ids::Rung),
+    Delivered(NodeId, f64),
+    Load(NodeId, Load),
+    Probed(NodeId, bool),
+    Woke(ashglade::ids::TimerId),
 }
 
 impl Engine {
@@ -93,7 +93,7 @@
         let mut timers = Timers::default();
         timers.at(now + Span::from_secs(NOTES_EVERY), Timer::Notes);
         Engine {
-            director: Director::start(&start.headend, now),
+            director: Director::new(&start.headend, now),
             door: start.door.clone().map(|terms| Door::new(terms, now)),
             start,
             roster: Roster::default(),
@@ -163,7 +163,7 @@
             missing: &self.missing,
         };
         let roster = &self.roster;
-        self.director.round(now, |round| news.iter().for_each(|n| tell(round, roster, n)), &mut desk);
+        self.director.run_round(now, |round| news.iter().for_each(|n| tell(round, roster, n)), &mut desk);
         self.came_out(now, &effects);
         if self.draining && !self.drained && self.hands.is_empty() {
             self.drained = true;
@@ -293,7 +293,7 @@
                 };
                 self.hands.tally.broken += 1;
                 self.hands.remove(sess);
-                news.push(News::Ended(sess, SetupNo(setups.saturating_sub(1)), node, how, true));
+                news.push(News::Ended(sess, SetupNumber(setups.saturating_sub(1)), node, how, true));
             }
             Input::Stays { sess, rung } => {
                 if let Some(hand) = self.hands.get_mut(sess) {
@@ -305,7 +305,7 @@
                 if let Some(hand) = self.hands.get(sess)
                     && let Some(node) = hand.plays_at
                 {
-                    let scale = self.start.headend.groups.get(hand.group.0).map_or(1.0, |g| g.scale);
+                    let scale = self.start.headend.groups.get(hand.group.0).map_or(1.0, |g| g.rate_scale);
                     let rung = self.start.headend.ladder.get(usize::from(hand.rung.0));
                     self.notes.add(node, rung.map_or(0.0, |&(kb, _)| kb) * scale, share);
                 }
@@ -330,7 +330,7 @@
         }
     }
 
-    fn out_mut(&mut self, sess: Sess, setup: SetupNo) -> Option<&mut setups::Out> {
+    fn out_mut(&mut self, sess: SessionId, setup: SetupNumber) -> Option<&mut setups::Out> {
         self.hands.get_mut(sess)?.out.as_mut().filter(|out| out.setup == setup)
     }
 
@@ -361,7 +361,7 @@
 
     /// Rule 3: what waits for a connection to a node that now drains or is gone must not be written later, when
     /// the grace may be over. What has been written goes on.
-    fn recall(&mut self, ready: impl Fn(Node) -> bool, effects: &mut Vec<Effect>) {
+    fn recall(&mut self, ready: impl Fn(NodeId) -> bool, effects: &mut Vec<Effect>) {
         for (sess, hand) in self.hands.iter_mut() {
             let Some(out) = &mut hand.out else { continue };
             if !ready(out.node)
@@ -377,7 +377,7 @@
     fn asked(
         &mut self,
         now: Instant,
-        sess: Sess,
+        sess: SessionId,
         want: Want,
         news: &mut Vec<News>,
         effects: &mut Vec<Effect>,
@@ -389,7 +389,7 @@
             self.hands.tally.draining += u64::from(self.draining);
             self.hands.tally.busy += 1;
             let why = if full { Why::TooManySessions } else { Why::Draining };
-            let retry_after = self.start.headend.retry_after;
+            let retry_after = self.start.headend.max_retry_after;
             effects.push(Effect::Answer { sess, answer: Answer::Busy { retry_after, why } });
             return;
         }
@@ -424,11 +424,11 @@
             setups: 0,
             out: None,
             plays_at: None,
-            rung: self.start.headend.groups.get(want.group.0).map_or_else(Default::default, |g| g.floor),
+            rung: self.start.headend.groups.get(want.group.0).map_or_else(Default::default, |g| g.floor_rung),
         }
     }
 
-    fn left(&mut self, now: Instant, sess: Sess, news: &mut Vec<News>, effects: &mut Vec<Effect>) {
+    fn left(&mut self, now: Instant, sess: SessionId, news: &mut Vec<News>, effects: &mut Vec<Effect>) {
         let Some(hand) = self.hands.get_mut(sess) else { return };
         if hand.left {
             return;
@@ -448,7 +448,13 @@
         news.push(News::Left(sess));
         if let Some(node) = hand.plays_at {
             effects.push(Effect::Release { sess });
-            news.push(News::Ended(sess, SetupNo(setups.saturating_sub(1)), node, Ending::Played, true));
+            news.push(News::Ended(
+                sess,
+                SetupNumber(setups.saturating_sub(1)),
+                node,
+                AttemptOutcome::Played,
+                true,
+            ));
             self.hands.remove(sess);
         } else if hand.out.is_none() {
             self.hands.remove(sess);
@@ -458,8 +464,8 @@
 
     fn started(
         &mut self,
-        sess: Sess,
-        setup: SetupNo,
+        sess: SessionId,
+        setup: SetupNumber,
         load: Option<Load>,
         news: &mut Vec<News>,
         effects: &mut Vec<Effect>,
@@ -495,7 +501,7 @@
                     // The guard has answered already, or the viewer is gone.
                     effects.push(Effect::Release { sess });
                     news.push(News::Left(sess));
-                    news.push(News::Ended(sess, setup, node, Ending::Cancelled, true));
+                    news.push(News::Ended(sess, setup, node, AttemptOutcome::Cancelled, true));
                     self.hands.remove(sess);
                 }
             }
@@ -503,7 +509,14 @@
     }
 
     /// The SETUP that was out has ended.
-    fn ended(&mut self, sess: Sess, setup: SetupNo, node: Node, how: Ending, news: &mut Vec<News>) {
+    fn ended(
+        &mut self,
+        sess: SessionId,
+        setup: SetupNumber,
+        node: NodeId,
+        how: AttemptOutcome,
+        news: &mut Vec<News>,
+    ) {
         let Some(hand) = self.hands.get_mut(sess) else { return };
         hand.out = None;
         let over = hand.left || hand.answered;
@@ -511,13 +524,13 @@
             self.hands.remove(sess);
         }
         let kind = match how {
-            Ending::Full => 0,
-            Ending::Unreachable => 1,
-            Ending::Unsent => 2,
-            Ending::Fault => 3,
-            Ending::Silent => 4,
-            Ending::Lost => 5,
-            Ending::Cancelled | Ending::Played => 6,
+            AttemptOutcome::Full => 0,
+            AttemptOutcome::Unreachable => 1,
+            AttemptOutcome::Unsent => 2,
+            AttemptOutcome::Fault => 3,
+            AttemptOutcome::Silent => 4,
+            AttemptOutcome::Lost => 5,
+            AttemptOutcome::Cancelled | AttemptOutcome::Played => 6,
         };
         self.hands.tally.endings[kind] += 1;
         self.seen.push(Seen { node, ended: Some(how) });
@@ -526,10 +539,10 @@
 
     /// A SETUP came to nothing for want of the title: that it never ran is as sure as if it had not been sent, and it says
     /// nothing of the node's health.
-    fn not_held(&mut self, sess: Sess, setup: SetupNo, node: Node, news: &mut Vec<News>) {
+    fn not_held(&mut self, sess: SessionId, setup: SetupNumber, node: NodeId, news: &mut Vec<News>) {
         let gave_up =
             self.out_mut(sess, setup).is_some_and(|out| out.withdrawn == Some(Withdrawn::ViewerLeft));
-        let how = if gave_up { Ending::Cancelled } else { Ending::Unsent };
+        let how = if gave_up { AttemptOutcome::Cancelled } else { AttemptOutcome::Unsent };
         self.ended(sess, setup, node, how, news);
     }
 
@@ -549,7 +562,7 @@
             }
             Timer::Withdrawn(sess, setup) => {
                 if let Some(out) = self.out_mut(sess, setup) {
-                    let (node, how) = (out.node, out.ending(Ending::Silent));
+                    let (node, how) = (out.node, out.ending(AttemptOutcome::Silent));
                     self.hands.tally.untold += 1;
                     self.ended(sess, setup, node, how, news);
                 }
@@ -594,58 +607,67 @@
     }
 }
 
-fn viewing(want: Want, patience: Span) -> Viewing {
+fn viewing(want: Want, patience: Span) -> SessionRequest {
     let Want { group, title, top, home, copies, .. } = want;
-    Viewing { group, title, top, home, copies, patience }
+    SessionRequest {
+        group,
+        title,
+        top_rung: top,
+        first_cell: home,
+        cell_count: copies,
+        setup_timeout: patience,
+    }
 }
 
 fn tell(round: &mut Round, roster: &Roster, news: &News) {
     match *news {
-        News::Turns(ref ours, of) => round.turns(ours, of),
-        News::Repeats(most, span) => round.repeats(most, span),
-        News::Doubted(ref nodes) => round.doubted(nodes),
+        News::Turns(ref ours, of) => round.set_slow_start_turns(ours, of),
+        News::Repeats(most, span) => round.set_retry_limit_per_node(most, span),
+        News::Doubted(ref nodes) => round.set_suspected_nodes(nodes),
         News::List => {
-            round.list_whole();
+            round.begin_list_snapshot();
             for (&node, entry) in roster.nodes() {
                 match entry.standing {
                     Standing::Ready => round.node_ready(node, entry.place),
-                    Standing::Draining | Standing::Gone => round.node_leaves(node),
+                    Standing::Draining | Standing::Gone => round.node_draining(node),
                 }
             }
-            round.list_done();
+            round.finish_list();
         }
         News::Told(whole, ref nodes) => {
             if whole {
-                round.list_whole();
+                round.begin_list_snapshot();
             } else {
-                round.list_changes();
+                round.begin_list_update();
             }
             for told in nodes {
                 match told.standing {
                     words::Standing::Ready(place) => round.node_ready(told.node, place),
-                    words::Standing::Draining => round.node_leaves(told.node),
-                    words::Standing::Gone => round.node_gone(told.node),
+                    words::Standing::Draining => round.node_draining(told.node),
+                    words::Standing::Gone => round.node_removed(told.node),
                 }
             }
-            round.list_done();
+            round.finish_list();
+        }
+        News::WentOn(node) => round.node_kept_running(node),
+        News::UnderWay(sess, want, node) => round.session_handed_over(sess, want, node),
+        News::Asked(sess, want) => round.session_requested(sess, want),
+        News::Left(sess) => round.viewer_left(sess),
+        News::Started(sess, setup, node) => round.session_started(sess, setup, node),
+        News::Ended(sess, setup, node, how, complete) => {
+            round.attempt_ended(sess, setup, node, how, complete)
         }
-        News::WentOn(node) => round.went_on(node),
-        News::UnderWay(sess, want, node) => round.under_way(sess, want, node),
-        News::Asked(sess, want) => round.asked(sess, want),
-        News::Left(sess) => round.left(sess),
-        News::Started(sess, setup, node) => round.started(sess, setup, node),
-        News::Ended(sess, setup, node, how, complete) => round.ended(sess, setup, node, how, complete),
-        News::Stays(sess, rung) => round.plays_at(sess, rung),
-        News::Delivered(node, share) => round.delivered(node, share),
+        News::Stays(sess, rung) => round.session_rung_reported(sess, rung),
+        News::Delivered(node, share) => round.delivery_reported(node, share),
         News::Load(node, load) => {
             if let Some(link) = load.link {
-                round.link_asked(node, link);
+                round.link_demand_reported(node, link);
             }
             if let Some(uplink) = load.uplink {
-                round.uplink_asked(node, uplink);
+                round.uplink_demand_reported(node, uplink);
             }
         }
-        News::Probed(node, answered) => round.probed(node, answered),
-        News::Woke(ticket) => round.woke(ticket),
+        News::Probed(node, answered) => round.probe_finished(node, answered),
+        News::Woke(ticket) => round.timer_fired(ticket),
     }
 }
--- a/crates/engine/src/notes.rs
+++ b/crates/engine/src/notes.rs
@@ -3,17 +3,17 @@
 
 use std::collections::BTreeMap;
 
-use ashglade::ids::Node;
+use ashglade::ids::NodeId;
 
 #[derive(Debug, Default)]
 pub struct Notes {
     /// By node: what arrived and what was due, in kB a second.
-    sums: BTreeMap<Node, (f64, f64)>,
+    sums: BTreeMap<NodeId, (f64, f64)>,
 }
 
 impl Notes {
     /// A session at `node` with `rate` kB a second due got this share of it. What is no figure is left out.
-    pub fn add(&mut self, node: Node, rate: f64, share: f64) {
+    pub fn add(&mut self, node: NodeId, rate: f64, share: f64) {
         if share.is_finite() && rate > 0.0 {
             let sum = self.sums.entry(node).or_default();
             sum.0 += rate * share.clamp(0.0, 1.0);
@@ -22,7 +22,7 @@
     }
 
     /// The share of each node that was heard of, in the order of nodes; then all is forgotten.
-    pub fn take(&mut self) -> impl Iterator<Item = (Node, f64)> {
+    pub fn take(&mut self) -> impl Iterator<Item = (NodeId, f64)> {
         std::mem::take(&mut self.sums).into_iter().map(|(node, (got, due))| (node, got / due))
     }
 }
--- a/crates/engine/src/setups.rs
+++ b/crates/engine/src/setups.rs
@@ -12,8 +12,8 @@
 //! | given up by the viewer | anything else | `Cancelled` |
 //! | recalled, as its node drains | that it was not sent | `Unsent` |
 
-use ashglade::ids::{Node, Rung, SetupNo};
-use ashglade::interface::Ending;
+use ashglade::ids::{NodeId, Rung, SetupNumber};
+use ashglade::interface::AttemptOutcome;
 use ashglade::time::Instant;
 
 /// Why a SETUP is no longer wanted.
@@ -27,8 +27,8 @@
 
 #[derive(Clone, Debug)]
 pub struct Out {
-    pub setup: SetupNo,
-    pub node: Node,
+    pub setup: SetupNumber,
+    pub node: NodeId,
     pub rung: Rung,
     pub until: Instant,
     /// A byte of it may be on the wire.
@@ -41,11 +41,11 @@
 pub enum Start {
     Plays,
     /// Nobody wants it any longer: it is torn down at the node, and counts as this.
-    TooLate(Ending),
+    TooLate(AttemptOutcome),
 }
 
 impl Out {
-    pub fn new(setup: SetupNo, node: Node, rung: Rung, until: Instant) -> Out {
+    pub fn new(setup: SetupNumber, node: NodeId, rung: Rung, until: Instant) -> Out {
         Out { setup, node, rung, until, written: false, withdrawn: None }
     }
 
@@ -62,20 +62,23 @@
     pub fn started(&self) -> Start {
         match self.withdrawn {
             None | Some(Withdrawn::Recalled) => Start::Plays,
-            Some(Withdrawn::OutOfTime) => Start::TooLate(Ending::Silent),
-            Some(Withdrawn::ViewerLeft) => Start::TooLate(Ending::Cancelled),
+            Some(Withdrawn::OutOfTime) => Start::TooLate(AttemptOutcome::Silent),
+            Some(Withdrawn::ViewerLeft) => Start::TooLate(AttemptOutcome::Cancelled),
         }
     }
 
     /// What the module hears of an ending. Unsent and unreachable are believed only while nothing was written.
-    pub fn ending(&self, told: Ending) -> Ending {
-        let unsent = matches!(told, Ending::Unsent | Ending::Unreachable) && !self.written;
+    pub fn ending(&self, told: AttemptOutcome) -> AttemptOutcome {
+        let unsent = matches!(told, AttemptOutcome::Unsent | AttemptOutcome::Unreachable) && !self.written;
         match (self.withdrawn, told) {
             _ if unsent => told,
-            (Some(Withdrawn::ViewerLeft), _) => Ending::Cancelled,
-            (Some(Withdrawn::OutOfTime), Ending::Full | Ending::Fault | Ending::Lost) => told,
-            (Some(Withdrawn::OutOfTime), _) => Ending::Silent,
-            (_, Ending::Unsent | Ending::Unreachable) => Ending::Lost,
+            (Some(Withdrawn::ViewerLeft), _) => AttemptOutcome::Cancelled,
+            (
+                Some(Withdrawn::OutOfTime),
+                AttemptOutcome::Full | AttemptOutcome::Fault | AttemptOutcome::Lost,
+            ) => told,
+            (Some(Withdrawn::OutOfTime), _) => AttemptOutcome::Silent,
+            (_, AttemptOutcome::Unsent | AttemptOutcome::Unreachable) => AttemptOutcome::Lost,
             _ => told,
         }
     }
--- a/crates/engine/src/tests.rs
+++ b/crates/engine/src/tests.rs
@@ -10,48 +10,48 @@
 
 use super::*;
 
-fn start(care: Care) -> Start {
+fn start(care: RetrySafety) -> Start {
     let group = ServiceGroup {
         start_target: Span::from_secs(1.0),
         utility: 1.0,
-        care,
-        reach: Reach::Anywhere,
-        repeat_window: Span::from_secs(5.0),
+        retry_safety: care,
+        retry_scope: RetryScope::Anywhere,
+        retry_window: Span::from_secs(5.0),
         live: false,
-        scale: 1.0,
-        floor: Rung(0),
-        top: Rung(1),
+        rate_scale: 1.0,
+        floor_rung: Rung(0),
+        top_rung: Rung(1),
         seats: 0,
     };
-    let headend = Headend {
+    let headend = DirectorConfig {
         seed: 3,
-        zone: Zone(0),
-        me: 0,
-        directors: 1,
+        zone: ZoneId(0),
+        director_index: 0,
+        director_count: 1,
         groups: vec![group],
         ladder: vec![(100.0, 0.4), (200.0, 1.0)],
-        places: vec![100.0],
-        cells: 4,
-        racks: 1,
-        link_unit: 2000.0,
-        uplink: 0.0,
-        join: 1.0,
-        worst_group: 0.0,
-        guard: 0.0,
-        notice: Span::from_secs(1.0),
-        gauges: vec![Gauge::Link],
+        max_streams: vec![100.0],
+        cell_count: 4,
+        rack_count: 1,
+        link_kb_per_s_per_weight: 2000.0,
+        uplink_kb_per_s: 0.0,
+        live_join_fraction: 1.0,
+        worst_group_weight: 0.0,
+        full_link_demand: 0.0,
+        report_delay: Span::from_secs(1.0),
+        load_metrics: vec![LoadMetric::Link],
         probe_only: false,
         may_probe: false,
-        probe_price: 0.0,
+        probe_cost: 0.0,
         may_cancel: true,
-        retry_after: Some(Span::from_secs(2.0)),
-        setups_per_session: 3,
-        ration: None,
-        cold_from: 1.0,
-        warm_after: Span::from_secs(1.0),
-        fall_multiple: 9.0,
-        fall_span: Span::from_secs(1.0),
-        ask_list_within: None,
+        max_retry_after: Some(Span::from_secs(2.0)),
+        max_setups_per_session: 3,
+        retry_budget: None,
+        slow_start_initial_fraction: 1.0,
+        slow_start_duration: Span::from_secs(1.0),
+        overload_multiple: 9.0,
+        overload_window: Span::from_secs(1.0),
+        node_list_max_age: None,
     };
     let span = Span::from_ms;
     Start { headend, answer_margin: span(200.0), probe_timeout: span(250.0), most_sessions: 40, door: None }
@@ -62,7 +62,8 @@
 }
 
 fn list(generation: u64, standings: &[Standing]) -> Input {
-    let place = |n| Place { zone: Zone(0), model: Model(0), cell: Cell(n), weight: 1.0, started: None };
+    let place =
+        |n| NodeInfo { zone: ZoneId(0), model: ModelId(0), cell: CellId(n), weight: 1.0, started: None };
     let entry = |(n, &standing): (usize, &Standing)| {
         let n = n as u16 + 1;
         Entry {
@@ -80,10 +81,10 @@
 fn want() -> Want {
     let setup_timeout = Span::from_secs(3.0);
     Want {
-        group: Group(0),
-        title: Title(1),
+        group: GroupId(0),
+        title: TitleId(1),
         top: Rung(1),
-        home: Cell(0),
+        home: CellId(0),
         copies: 4,
         setup_timeout,
         tenant: 0,
@@ -91,7 +92,7 @@
     }
 }
 
-fn print(effect: &Effect, names: &BTreeMap<Node, String>) -> String {
+fn print(effect: &Effect, names: &BTreeMap<NodeId, String>) -> String {
     match effect {
         Effect::Setup { sess, setup, node, rung, until } => {
             format!("setup {}.{} at {} rung {} until {}", sess.0, setup.0, names[node], rung.0, until.as_ms())
@@ -118,12 +119,12 @@
 /// An engine with nodes n1 to n3, all warm, and its trace.
 struct Desk {
     engine: Engine,
-    names: BTreeMap<Node, String>,
+    names: BTreeMap<NodeId, String>,
     trace: String,
 }
 
 impl Desk {
-    fn open(care: Care) -> Desk {
+    fn open(care: RetrySafety) -> Desk {
         let engine = Engine::start(start(care), Instant::from_ms(0.0));
         let names = (1..=3).map(|n| (id_of(&address(n)), format!("n{n}"))).collect();
         let mut desk = Desk { engine, names, trace: String::new() };
@@ -148,7 +149,7 @@
     }
 
     fn ask(&mut self, ms: f64, sess: u64) {
-        self.at(ms, vec![Input::Asked { sess: Sess(sess), want: want() }]);
+        self.at(ms, vec![Input::Asked { sess: SessionId(sess), want: want() }]);
     }
 
     fn shows(&self, trace: Expect) {
@@ -156,28 +157,28 @@
     }
 }
 
-const S: Sess = Sess(1);
+const S: SessionId = SessionId(1);
 
 fn written(setup: u16) -> Input {
-    Input::Written { sess: S, setup: SetupNo(setup) }
+    Input::Written { sess: S, setup: SetupNumber(setup) }
 }
 
 fn started(setup: u16) -> Input {
-    Input::Started { sess: S, setup: SetupNo(setup), load: None }
+    Input::Started { sess: S, setup: SetupNumber(setup), load: None }
 }
 
-fn ended(setup: u16, how: Ending) -> Input {
-    Input::Ended { sess: S, setup: SetupNo(setup), how, load: None }
+fn ended(setup: u16, how: AttemptOutcome) -> Input {
+    Input::Ended { sess: S, setup: SetupNumber(setup), how, load: None }
 }
 
 #[test]
 fn a_node_without_the_title_is_passed_over_for_it_by_fragile_groups_too_and_asked_again_after_its_start() {
-    let mut desk = Desk::open(Care::Fragile);
+    let mut desk = Desk::open(RetrySafety::Fragile);
     desk.ask(1000.0, 1);
     // Written and all, a 404 proves that nothing ran: the next holder is asked.
     let first = desk.engine.round(Instant::from_ms(1001.0), vec![written(0)]);
     assert!(first.is_empty());
-    desk.at(1002.0, vec![Input::Missing { sess: S, setup: SetupNo(0), load: None }]);
+    desk.at(1002.0, vec![Input::Missing { sess: S, setup: SetupNumber(0), load: None }]);
     desk.at(1003.0, vec![written(1), started(1)]);
     // Whoever comes next and would go to the one without it doesn't, at once and without a SETUP there.
     for sess in 2..6 {
@@ -217,7 +218,7 @@
 
 #[test]
 fn a_200_after_its_setup_was_given_up_is_torn_down_at_the_node() {
-    let mut desk = Desk::open(Care::Safe);
+    let mut desk = Desk::open(RetrySafety::Safe);
     desk.ask(1000.0, 1);
     desk.at(1001.0, vec![written(0)]);
     desk.until(1500.0);
@@ -235,10 +236,10 @@
 
 #[test]
 fn a_viewer_that_leaves_gets_no_answer_and_what_it_left_ends() {
-    let mut desk = Desk::open(Care::Safe);
+    let mut desk = Desk::open(RetrySafety::Safe);
     desk.ask(1000.0, 1);
     desk.at(1100.0, vec![written(0), Input::Left { sess: S }]);
-    desk.at(1110.0, vec![ended(0, Ending::Cancelled)]);
+    desk.at(1110.0, vec![ended(0, AttemptOutcome::Cancelled)]);
     desk.ask(2000.0, 1);
     desk.at(2100.0, vec![written(0), Input::Left { sess: S }, started(0)]);
     desk.trace += &format!("in hand {}\n", desk.engine.in_hand());
@@ -253,13 +254,13 @@
 
 #[test]
 fn what_waits_for_a_connection_to_a_draining_node_is_recalled_and_goes_elsewhere() {
-    let mut desk = Desk::open(Care::Fragile);
+    let mut desk = Desk::open(RetrySafety::Fragile);
     desk.ask(1000.0, 1);
     let at: Vec<Standing> = (1..=3)
         .map(|n| if desk.trace.contains(&format!("at n{n}")) { Standing::Draining } else { Standing::Ready })
         .collect();
     desk.at(1050.0, vec![list(2, &at)]);
-    desk.at(1051.0, vec![ended(0, Ending::Unsent)]);
+    desk.at(1051.0, vec![ended(0, AttemptOutcome::Unsent)]);
     // Once it is written it goes on, drain or not.
     desk.at(1060.0, vec![written(1), list(3, &[Standing::Draining; 3])]);
     desk.at(1070.0, vec![started(1)]);
@@ -274,10 +275,10 @@
 
 #[test]
 fn unsent_is_not_believed_once_a_byte_was_written() {
-    let mut desk = Desk::open(Care::Fragile);
+    let mut desk = Desk::open(RetrySafety::Fragile);
     desk.ask(1000.0, 1);
     desk.at(1001.0, vec![written(0)]);
-    desk.at(1002.0, vec![ended(0, Ending::Unsent)]);
+    desk.at(1002.0, vec![ended(0, AttemptOutcome::Unsent)]);
     desk.shows(expect![[r#"
         1000 ms: setup 1.0 at n1 rung 1 until 3800
         1002 ms: 1 torn down
@@ -286,7 +287,7 @@
 
 #[test]
 fn an_ending_that_is_never_told_does_not_hold_the_answer() {
-    let mut desk = Desk::open(Care::Fragile);
+    let mut desk = Desk::open(RetrySafety::Fragile);
     desk.ask(1000.0, 1);
     desk.at(1001.0, vec![written(0)]);
     desk.until(4000.0);
@@ -302,11 +303,11 @@
 
 #[test]
 fn after_a_long_pause_all_that_came_meanwhile_counts_first() {
-    let mut desk = Desk::open(Care::Safe);
+    let mut desk = Desk::open(RetrySafety::Safe);
     desk.ask(1000.0, 1);
     desk.at(1001.0, vec![written(0)]);
     // Nothing ran from here to 2.2 s; the node's answer came meanwhile, that of another session never.
-    desk.at(2200.0, vec![started(0), Input::Asked { sess: Sess(2), want: want() }]);
+    desk.at(2200.0, vec![started(0), Input::Asked { sess: SessionId(2), want: want() }]);
     desk.at(6000.0, vec![]);
     desk.shows(expect![[r#"
         1000 ms: setup 1.0 at n1 rung 1 until 1500
@@ -317,12 +318,12 @@
 
 #[test]
 fn a_draining_director_takes_nothing_new_and_says_when_it_is_empty() {
-    let mut desk = Desk::open(Care::Safe);
+    let mut desk = Desk::open(RetrySafety::Safe);
     desk.ask(1000.0, 1);
     desk.at(1010.0, vec![written(0), started(0)]);
     desk.at(1500.0, vec![Input::Drain]);
     desk.ask(1600.0, 2);
-    desk.at(1700.0, vec![Input::Over { sess: S, how: Ending::Lost }]);
+    desk.at(1700.0, vec![Input::Over { sess: S, how: AttemptOutcome::Lost }]);
     desk.shows(expect![[r#"
         1000 ms: setup 1.0 at n1 rung 1 until 1500
         1010 ms: 1 plays at rung 1
@@ -333,8 +334,8 @@
 
 #[test]
 fn sessions_in_hand_are_bounded() {
-    let mut desk = Desk::open(Care::Safe);
-    desk.at(1000.0, (1..=60).map(|n| Input::Asked { sess: Sess(n), want: want() }).collect());
+    let mut desk = Desk::open(RetrySafety::Safe);
+    desk.at(1000.0, (1..=60).map(|n| Input::Asked { sess: SessionId(n), want: want() }).collect());
     let tally = desk.engine.tally();
     assert_eq!((desk.engine.in_hand() <= 40, tally.over_bound >= 20, tally.asked), (true, true, 60));
 }
@@ -344,10 +345,10 @@
 struct World {
     random: oorandom::Rand64,
     /// By session: answers, whether it left, when it asked.
-    asked: BTreeMap<Sess, (usize, bool, f64)>,
+    asked: BTreeMap<SessionId, (usize, bool, f64)>,
     /// SETUPs that the shell has out.
-    out: BTreeMap<Sess, (SetupNo, bool)>,
-    playing: Vec<Sess>,
+    out: BTreeMap<SessionId, (SetupNumber, bool)>,
+    playing: Vec<SessionId>,
     late: f64,
 }
 
@@ -358,14 +359,14 @@
         groups: vec![(1.0, 1.0)],
         tenants: vec![1.0],
         target: Span::from_secs(1.0),
-        retry_after: start.headend.retry_after,
+        retry_after: start.headend.max_retry_after,
         most_waiting: 12,
         hands: (2.0, 1.0, 4.0),
     };
     Start { door: Some(terms), ..start }
 }
 
-fn world(seed: u64, care: Care, rounds: usize) -> (Vec<record::Line>, World) {
+fn world(seed: u64, care: RetrySafety, rounds: usize) -> (Vec<record::Line>, World) {
     let start = if seed % 2 == 1 { with_door(start(care)) } else { start(care) };
     let mut engine = Engine::start(start, Instant::from_ms(0.0));
     let random = oorandom::Rand64::new(seed.into());
@@ -401,7 +402,7 @@
                 && !(*if_unsent && written)
             {
                 world.out.remove(sess);
-                let how = if written { Ending::Cancelled } else { Ending::Unsent };
+                let how = if written { AttemptOutcome::Cancelled } else { AttemptOutcome::Unsent };
                 match world.random.rand_range(0..4) {
                     0 => {}
                     1 if written => inputs.push(Input::Started { sess: *sess, setup: *setup, load: None }),
@@ -429,30 +430,31 @@
     fn act(&mut self, inputs: &mut Vec<Input>, next: &mut u64, generation: &mut u64, now: f64, quiet: bool) {
         let chance = |random: &mut oorandom::Rand64, part: f64| random.rand_float() < part;
         if !quiet && chance(&mut self.random, 0.3) && self.asked.len() < 60 {
-            let sess = Sess(*next);
+            let sess = SessionId(*next);
             *next += 1;
             self.asked.insert(sess, (0, false, now));
             inputs.push(Input::Asked { sess, want: want() });
         }
-        let out: Vec<(Sess, SetupNo, bool)> = self.out.iter().map(|(&s, &(n, w))| (s, n, w)).collect();
+        let out: Vec<(SessionId, SetupNumber, bool)> =
+            self.out.iter().map(|(&s, &(n, w))| (s, n, w)).collect();
         for (sess, setup, was) in out {
             if !was && chance(&mut self.random, 0.5) {
                 self.out.insert(sess, (setup, true));
                 inputs.push(Input::Written { sess, setup });
             } else if was && chance(&mut self.random, 0.15) {
                 self.out.remove(&sess);
-                let endings = [Ending::Full, Ending::Fault, Ending::Lost];
+                let endings = [AttemptOutcome::Full, AttemptOutcome::Fault, AttemptOutcome::Lost];
                 match self.random.rand_range(0..5) as usize {
                     n @ 0..3 => inputs.push(Input::Ended { sess, setup, how: endings[n], load: None }),
                     _ => inputs.push(Input::Started { sess, setup, load: None }),
                 }
             } else if !was && chance(&mut self.random, 0.1) {
                 self.out.remove(&sess);
-                inputs.push(Input::Ended { sess, setup, how: Ending::Unreachable, load: None });
+                inputs.push(Input::Ended { sess, setup, how: AttemptOutcome::Unreachable, load: None });
             }
         }
         if !quiet && chance(&mut self.random, 0.05) {
-            let present: Vec<Sess> = self.asked.iter().filter(|(_, a)| !a.1).map(|(&s, _)| s).collect();
+            let present: Vec<SessionId> = self.asked.iter().filter(|(_, a)| !a.1).map(|(&s, _)| s).collect();
             if let Some(&sess) = present.get(self.random.rand_range(0..present.len().max(1) as u64) as usize)
             {
                 if let Some(entry) = self.asked.get_mut(&sess) {
@@ -461,7 +463,7 @@
                 inputs.push(Input::Left { sess });
                 // As the shell does: what is out is ended and told in the same breath.
                 if let Some((setup, written)) = self.out.remove(&sess) {
-                    let how = if written { Ending::Cancelled } else { Ending::Unsent };
+                    let how = if written { AttemptOutcome::Cancelled } else { AttemptOutcome::Unsent };
                     inputs.push(Input::Ended { sess, setup, how, load: None });
                 }
             }
@@ -478,7 +480,7 @@
             && chance(&mut self.random, 0.05)
         {
             self.playing.pop();
-            inputs.push(Input::Over { sess, how: Ending::Lost });
+            inputs.push(Input::Over { sess, how: AttemptOutcome::Lost });
         }
         if let Some(&sess) = self.playing.first() {
             inputs.push(Input::Flow { sess, share: self.random.rand_float() });
@@ -489,7 +491,7 @@
 #[test]
 fn each_request_has_one_answer_in_time_whatever_the_world_does() {
     for seed in 0..300 {
-        let care = [Care::Safe, Care::Dedup, Care::Fragile][seed as usize % 3];
+        let care = [RetrySafety::Safe, RetrySafety::Dedup, RetrySafety::Fragile][seed as usize % 3];
         let (_, world) = world(seed, care, 900);
         for (sess, (answers, left, _)) in &world.asked {
             let well = *answers == 1 || (*left && *answers == 0);
@@ -502,38 +504,38 @@
 
 #[test]
 fn a_record_plays_again_to_the_same_effects_and_a_changed_one_does_not() {
-    let (lines, _) = world(8, Care::Safe, 600);
+    let (lines, _) = world(8, RetrySafety::Safe, 600);
     let head = record::Head { started: Instant::from_ms(0.0) };
     let mut text = serde_json::to_string(&head).unwrap() + "\n";
     for line in &lines {
         text += &(serde_json::to_string(line).unwrap() + "\n");
     }
-    let (rounds, _) = record::replay(start(Care::Safe), &text).unwrap();
+    let (rounds, _) = record::replay(start(RetrySafety::Safe), &text).unwrap();
     assert_eq!(rounds, 600);
     // Cut off by a kill in the middle of a line, it counts up to there.
-    let (rounds, _) = record::replay(start(Care::Safe), &text[..text.len() - 10]).unwrap();
+    let (rounds, _) = record::replay(start(RetrySafety::Safe), &text[..text.len() - 10]).unwrap();
     assert_eq!(rounds, 599);
-    let differs = record::replay(start(Care::Fragile), &text).unwrap_err().to_string();
+    let differs = record::replay(start(RetrySafety::Fragile), &text).unwrap_err().to_string();
     assert!(differs.starts_with("line "), "{differs}");
     let broken = text.replacen("{\"at\"", "{\"ta\"", 1);
-    let broken = record::replay(start(Care::Safe), &broken).unwrap_err().to_string();
+    let broken = record::replay(start(RetrySafety::Safe), &broken).unwrap_err().to_string();
     expect!["line 2: missing field `at` at line 1 column 473"].assert_eq(&broken);
 }
 
 #[test]
 fn at_a_narrow_door_one_goes_in_others_wait_and_are_answered_in_time() {
-    let engine = Engine::start(with_door(start(Care::Safe)), Instant::from_ms(0.0));
+    let engine = Engine::start(with_door(start(RetrySafety::Safe)), Instant::from_ms(0.0));
     let names = (1..=3).map(|n| (id_of(&address(n)), format!("n{n}"))).collect();
     let mut desk = Desk { engine, names, trace: String::new() };
     desk.at(0.0, vec![list(1, &[Standing::Ready; 3])]);
     desk.trace.clear();
-    let ask = |n: u64| Input::Asked { sess: Sess(n), want: Want { client: n, ..want() } };
+    let ask = |n: u64| Input::Asked { sess: SessionId(n), want: Want { client: n, ..want() } };
     // The first round of the limit lets one in.
     desk.at(1000.0, (1..=4).map(ask).collect());
     desk.at(1010.0, vec![written(0), started(0)]);
     desk.until(1020.0);
     // One of those that wait leaves; the module never hears of it.
-    desk.at(1030.0, vec![Input::Left { sess: Sess(3) }]);
+    desk.at(1030.0, vec![Input::Left { sess: SessionId(3) }]);
     // The second hangs; the fourth waits half its start target and is told then.
     desk.until(1600.0);
     desk.trace += &format!("in hand {}\n", desk.engine.in_hand());
@@ -553,11 +555,11 @@
 #[test]
 fn a_lease_that_ran_out_while_the_director_stood_still_is_not_used() {
     let traces = [2000.0, 9000.0].map(|goes_on| {
-        let mut desk = Desk::open(Care::Safe);
+        let mut desk = Desk::open(RetrySafety::Safe);
         let lapse = Some(Lapse { at: Instant::from_ms(5000.0), kept: 0 });
         desk.at(1000.0, vec![Input::Repeats { most: 1, span: Span::from_secs(2.0), lapse }]);
         desk.at(goes_on, vec![Input::Asked { sess: S, want: want() }]);
-        desk.at(goes_on + 1.0, vec![written(0), ended(0, Ending::Full)]);
+        desk.at(goes_on + 1.0, vec![written(0), ended(0, AttemptOutcome::Full)]);
         format!("goes on at {goes_on}\n{}", desk.trace)
     });
     expect![[r#"
--- a/crates/engine/src/timers.rs
+++ b/crates/engine/src/timers.rs
@@ -2,21 +2,21 @@
 
 use std::collections::BTreeSet;
 
-use ashglade::ids::{Sess, SetupNo, Ticket};
+use ashglade::ids::{SessionId, SetupNumber, TimerId};
 use ashglade::time::Instant;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
     /// The module asked to be woken.
-    Wake(Ticket),
+    Wake(TimerId),
     /// A SETUP has had its time.
-    Setup(Sess, SetupNo),
+    Setup(SessionId, SetupNumber),
     /// A SETUP was withdrawn and its ending has not been told.
-    Withdrawn(Sess, SetupNo),
+    Withdrawn(SessionId, SetupNumber),
     /// A request must have its answer by now.
-    Answer(Sess),
+    Answer(SessionId),
     /// It goes to a node that doesn't hold the title: never sent.
-    Spared(Sess, SetupNo),
+    Spared(SessionId, SetupNumber),
     Probe(u64),
     /// The door is looked at.
     Door,
--- a/crates/engine/src/words.rs
+++ b/crates/engine/src/words.rs
@@ -1,7 +1,7 @@
 //! What goes into a round and what comes out of it. Fronts and shells know these words, never the module's insides.
 
-use ashglade::ids::{Cell, Group, Node, Rung, Sess, SetupNo, Title};
-use ashglade::interface::{Ending, Place};
+use ashglade::ids::{CellId, GroupId, NodeId, Rung, SessionId, SetupNumber, TitleId};
+use ashglade::interface::{AttemptOutcome, NodeInfo};
 use ashglade::time::{Instant, Span};
 use ashglade_admission::Turned;
 use ashglade_discovery::List;
@@ -10,12 +10,12 @@
 /// What a viewer asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Want {
-    pub group: Group,
-    pub title: Title,
+    pub group: GroupId,
+    pub title: TitleId,
     /// The highest rung that the viewer can use.
     pub top: Rung,
     /// First of the cells in a row that hold the title, and how many.
-    pub home: Cell,
+    pub home: CellId,
     pub copies: u16,
     /// From now, how long until the viewer gives up.
     pub setup_timeout: Span,
@@ -37,13 +37,13 @@
 /// A media node as a numbered event tells of it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Told {
-    pub node: Node,
+    pub node: NodeId,
     pub standing: Standing,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Standing {
-    Ready(Place),
+    Ready(NodeInfo),
     Draining,
     /// What is held of it may go; it may come back, as a new one.
     Gone,
@@ -60,69 +60,69 @@
     },
     /// A session that plays already is handed over; nobody is owed an answer. The node may be unknown here.
     UnderWay {
-        sess: Sess,
+        sess: SessionId,
         want: Want,
-        node: Node,
+        node: NodeId,
     },
     /// A viewer asks for a session. `sess` is new.
     Asked {
-        sess: Sess,
+        sess: SessionId,
         want: Want,
     },
     /// The viewer gave up, ended the session or was lost.
     Left {
-        sess: Sess,
+        sess: SessionId,
     },
     /// From here on a SETUP may have run: its first byte is about to be written.
     Written {
-        sess: Sess,
-        setup: SetupNo,
+        sess: SessionId,
+        setup: SetupNumber,
     },
     /// The node accepted the SETUP.
     Started {
-        sess: Sess,
-        setup: SetupNo,
+        sess: SessionId,
+        setup: SetupNumber,
         load: Option<Load>,
     },
     /// The SETUP came to nothing. Told exactly once for each SETUP that did not start.
     Ended {
-        sess: Sess,
-        setup: SetupNo,
-        how: Ending,
+        sess: SessionId,
+        setup: SetupNumber,
+        how: AttemptOutcome,
         load: Option<Load>,
     },
     /// The node doesn't hold the title, and set nothing up. Told in place of an ending.
     Missing {
-        sess: Sess,
-        setup: SetupNo,
+        sess: SessionId,
+        setup: SetupNumber,
         load: Option<Load>,
     },
     /// A session that played is over at its node.
     Over {
-        sess: Sess,
-        how: Ending,
+        sess: SessionId,
+        how: AttemptOutcome,
     },
     /// The rung in force at the node, where a change of rung did not come about.
     Stays {
-        sess: Sess,
+        sess: SessionId,
         rung: Rung,
     },
     /// The share of what was due that a playing session got since the last word of it.
     Flow {
-        sess: Sess,
+        sess: SessionId,
         share: f64,
     },
     /// What failed at this node was not its end: its process is shown to be the one that it was.
     WentOn {
-        node: Node,
+        node: NodeId,
     },
     /// The share of their rates that sessions at this node get, as the node itself tells it.
     Delivered {
-        node: Node,
+        node: NodeId,
         share: f64,
     },
     Load {
-        node: Node,
+        node: NodeId,
         load: Load,
     },
     /// A probe's answer, or none.
@@ -146,7 +146,7 @@
     },
     /// Nodes that are tried last, by what other directors found.
     Doubted {
-        nodes: Vec<Node>,
+        nodes: Vec<NodeId>,
     },
     /// Takes nothing new from here on.
     Drain,
@@ -191,38 +191,38 @@
 pub enum Effect {
     /// Send this SETUP to the node and tell how it ended, by `until` or when it is withdrawn.
     Setup {
-        sess: Sess,
-        setup: SetupNo,
-        node: Node,
+        sess: SessionId,
+        setup: SetupNumber,
+        node: NodeId,
         rung: Rung,
         until: Instant,
     },
     /// Give the SETUP up and tell how it ended; where `if_unsent`, only if not a byte of it was written.
     Withdraw {
-        sess: Sess,
-        setup: SetupNo,
+        sess: SessionId,
+        setup: SetupNumber,
         if_unsent: bool,
     },
     Answer {
-        sess: Sess,
+        sess: SessionId,
         answer: Answer,
     },
     /// A playing session changes its rung.
     Rung {
-        sess: Sess,
+        sess: SessionId,
         rung: Rung,
     },
     /// Tear the session down at its node, if it is there; nobody holds it here any longer.
     Release {
-        sess: Sess,
+        sess: SessionId,
     },
     /// A playing session is sent back: over here and at its node, and its viewer comes again.
     SendBack {
-        sess: Sess,
+        sess: SessionId,
     },
     Probe {
         probe: u64,
-        node: Node,
+        node: NodeId,
     },
     /// A list was taken, with the generation now in force, or left out and why.
     Listed {
--- a/crates/hls/src/tests.rs
+++ b/crates/hls/src/tests.rs
@@ -1,4 +1,4 @@
-use ashglade::ids::{Group, Sess, Title};
+use ashglade::ids::{GroupId, SessionId, TitleId};
 use ashglade::time::Instant;
 use expect_test::expect;
 use url::Url;
@@ -13,14 +13,14 @@
     Instant::from_ms(secs * 1e3)
 }
 
-const TOKEN: Token = Token { sess: Sess(77), title: Title(5), group: Group(2), expires: 1000 };
+const TOKEN: Token = Token { sess: SessionId(77), title: TitleId(5), group: GroupId(2), expires: 1000 };
 
 #[test]
 fn a_token_holds_for_its_session_its_title_and_its_time() {
     let signed = keys(&[1]).sign(&TOKEN);
     let mut told = String::new();
     let mut tell = |name: &str, keys: &Keys, text: &str, title: u64, now: u64| {
-        let verdict = match keys.verify(text, Title(title), now) {
+        let verdict = match keys.verify(text, TitleId(title), now) {
             Ok(token) => format!("{token:?}"),
             Err(forged) => forged.to_string(),
         };
@@ -48,13 +48,13 @@
         let mut text = signed.clone().into_bytes();
         text[i] = if text[i] == b'A' { b'B' } else { b'A' };
         let text = String::from_utf8(text).unwrap();
-        assert!(keys(&[1]).verify(&text, Title(5), 1).is_err(), "{i}");
+        assert!(keys(&[1]).verify(&text, TitleId(5), 1).is_err(), "{i}");
     }
-    let path = keys(&[1]).sign_path(Sess(77), "v1/3.ts");
-    assert_eq!(keys(&[2, 1]).verify_path(Sess(77), "v1/3.ts", &path), Ok(()));
-    assert_eq!(keys(&[1]).verify_path(Sess(78), "v1/3.ts", &path), Err(Forged::Path));
-    assert_eq!(keys(&[1]).verify_path(Sess(77), "v2/3.ts", &path), Err(Forged::Path));
-    assert_eq!(keys(&[1]).verify_path(Sess(77), "v1/3.ts", ""), Err(Forged::Path));
+    let path = keys(&[1]).sign_path(SessionId(77), "v1/3.ts");
+    assert_eq!(keys(&[2, 1]).verify_path(SessionId(77), "v1/3.ts", &path), Ok(()));
+    assert_eq!(keys(&[1]).verify_path(SessionId(78), "v1/3.ts", &path), Err(Forged::Path));
+    assert_eq!(keys(&[1]).verify_path(SessionId(77), "v2/3.ts", &path), Err(Forged::Path));
+    assert_eq!(keys(&[1]).verify_path(SessionId(77), "v1/3.ts", ""), Err(Forged::Path));
     assert_eq!(format!("{:?}", keys(&[3])), "Keys[3]");
 }
 
--- a/crates/hls/src/token.rs
+++ b/crates/hls/src/token.rs
@@ -5,7 +5,7 @@
 //! key signs; any verifies, so keys change without a session lost: add the new one behind, then put it first, then
 //! take the old one out.
 
-use ashglade::ids::{Group, Sess, Title};
+use ashglade::ids::{GroupId, SessionId, TitleId};
 use base64::Engine as _;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use hmac::{Hmac, Mac};
@@ -46,9 +46,9 @@
 /// What a token says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Token {
-    pub sess: Sess,
-    pub title: Title,
-    pub group: Group,
+    pub sess: SessionId,
+    pub title: TitleId,
+    pub group: GroupId,
     /// Seconds since 1970.
     pub expires: u64,
 }
@@ -103,7 +103,7 @@
     }
 
     /// What a token says, if it was signed here, is for this title and has not expired at `now`, in seconds since 1970.
-    pub fn verify(&self, text: &str, title: Title, now: u64) -> Result<Token, Forged> {
+    pub fn verify(&self, text: &str, title: TitleId, now: u64) -> Result<Token, Forged> {
         let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| Forged::Malformed)?;
         if bytes.len() != BODY + SIGNATURE {
             return Err(Forged::Malformed);
@@ -114,9 +114,9 @@
         mac.verify_truncated_left(signature).map_err(|_| Forged::Signature)?;
         let number = |from: usize| u64::from_be_bytes(body[from..from + 8].try_into().unwrap_or_default());
         let token = Token {
-            sess: Sess(number(1)),
-            title: Title(number(9)),
-            group: Group(usize::from(u16::from_be_bytes([body[17], body[18]]))),
+            sess: SessionId(number(1)),
+            title: TitleId(number(9)),
+            group: GroupId(usize::from(u16::from_be_bytes([body[17], body[18]]))),
             expires: number(19),
         };
         match token {
@@ -127,12 +127,12 @@
     }
 
     /// The signature of a path that a session is given.
-    pub fn sign_path(&self, sess: Sess, path: &str) -> String {
+    pub fn sign_path(&self, sess: SessionId, path: &str) -> String {
         let signature = Self::mac(&self.0[0], &[b"path", &sess.0.to_be_bytes(), path.as_bytes()]).finalize();
         URL_SAFE_NO_PAD.encode(&signature.into_bytes()[..PATH_SIGNATURE])
     }
 
-    pub fn verify_path(&self, sess: Sess, path: &str, signature: &str) -> Result<(), Forged> {
+    pub fn verify_path(&self, sess: SessionId, path: &str, signature: &str) -> Result<(), Forged> {
         let given = URL_SAFE_NO_PAD.decode(signature).map_err(|_| Forged::Path)?;
         let fits = |key: &Ready| {
             let mac = Self::mac(key, &[b"path", &sess.0.to_be_bytes(), path.as_bytes()]);
--- a/crates/lab/src/emulator/crowd.rs
+++ b/crates/lab/src/emulator/crowd.rs
@@ -1,6 +1,6 @@
 //! Viewers in simulated time: they ask, wait, give up, come back when told, watch and leave.
 
-use ashglade::ids::{Rung, Sess, Title};
+use ashglade::ids::{Rung, SessionId, TitleId};
 use ashglade_engine::{Answer, Input, Want, Why};
 
 use super::shells::Seat;
@@ -10,8 +10,8 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
     Away,
-    Asks { director: u16, life: u32, sess: Sess, at: f64 },
-    Plays { director: u16, life: u32, sess: Sess },
+    Asks { director: u16, life: u32, sess: SessionId, at: f64 },
+    Plays { director: u16, life: u32, sess: SessionId },
     Gone,
 }
 
@@ -81,14 +81,14 @@
             // No connection.
             let life = shell.life;
             self.plan(self.net * 2.0, Event::Breaks { viewer, again });
-            self.viewers[viewer].phase = Phase::Asks { director, life, sess: Sess(0), at: now };
+            self.viewers[viewer].phase = Phase::Asks { director, life, sess: SessionId(0), at: now };
             return;
         }
         let timeout = self.settings.setup_timeouts[visit.group];
         let title = &self.titles[visit.title];
         let want = Want {
-            group: ashglade::ids::Group(visit.group),
-            title: Title(title.id),
+            group: ashglade::ids::GroupId(visit.group),
+            title: TitleId(title.id),
             top: Rung(visit.top),
             home: title.home,
             copies: title.copies,
--- a/crates/lab/src/emulator/nodes.rs
+++ b/crates/lab/src/emulator/nodes.rs
@@ -3,13 +3,13 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use ashglade::ids::Sess;
+use ashglade::ids::SessionId;
 use ashglade_engine::Load;
 use ashglade_standin::node::ColdPace;
 use ashglade_standin::{Faults, Spec};
 
 /// A session at a node, by the director that holds it.
-pub type Key = (u16, Sess);
+pub type Key = (u16, SessionId);
 
 pub struct Node {
     pub spec: Spec,
--- a/crates/lab/src/emulator/shells.rs
+++ b/crates/lab/src/emulator/shells.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use ashglade::ids::{Sess, SetupNo};
-use ashglade::interface::Ending;
+use ashglade::ids::{SessionId, SetupNumber};
+use ashglade::interface::AttemptOutcome;
 use ashglade_engine::{Answer, Effect, Engine, Input, Start};
 
 use super::talk::Talker;
@@ -15,7 +15,7 @@
     pub viewer: usize,
     pub again: u32,
     /// The SETUP that is out, and where; none where its node was not there to be connected to.
-    pub out: Option<(SetupNo, Option<usize>)>,
+    pub out: Option<(SetupNumber, Option<usize>)>,
     pub plays_at: Option<usize>,
     pub rung: u8,
     pub group: usize,
@@ -37,7 +37,7 @@
     /// When the next round is due, if one is, and when the last will be over.
     pub round_at: Option<u64>,
     pub free_at: u64,
-    pub seats: BTreeMap<Sess, Seat>,
+    pub seats: BTreeMap<SessionId, Seat>,
     next_sess: u64,
     /// By node: when it was told as draining or gone.
     pub leaves: BTreeMap<usize, f64>,
@@ -69,7 +69,7 @@
     }
 
     /// The process is killed; the sessions that it held.
-    pub fn down(&mut self) -> BTreeMap<Sess, Seat> {
+    pub fn down(&mut self) -> BTreeMap<SessionId, Seat> {
         self.life += 1;
         self.engine = None;
         self.inbox.clear();
@@ -78,9 +78,9 @@
     }
 
     /// Names are never used again, by a later process either.
-    pub fn seat(&mut self, seat: Seat) -> Sess {
+    pub fn seat(&mut self, seat: Seat) -> SessionId {
         self.next_sess += 1;
-        let sess = Sess(self.next_sess);
+        let sess = SessionId(self.next_sess);
         self.seats.insert(sess, seat);
         sess
     }
@@ -116,7 +116,7 @@
         let mut lost = Vec::new();
         for (director, shell) in (0u16..).zip(&self.shells) {
             for (&sess, seat) in &shell.seats {
-                let how = Ending::Lost;
+                let how = AttemptOutcome::Lost;
                 if seat.plays_at == Some(node) {
                     lost.push((director, shell.life, Input::Over { sess, how }));
                 } else if let Some((setup, Some(at))) = seat.out
@@ -139,7 +139,7 @@
         for input in &inputs {
             noted(&mut shell.seats, input);
         }
-        let broken: Vec<(Sess, Seat)> = inputs
+        let broken: Vec<(SessionId, Seat)> = inputs
             .iter()
             .filter_map(|input| match input {
                 Input::Over { sess, .. } => Some((*sess, shell.seats.remove(sess)?)),
@@ -189,7 +189,8 @@
                         self.plan(net, Event::Setup { key, life, setup, node, rung: rung.0 });
                     }
                     None => {
-                        let input = Input::Ended { sess, setup, how: Ending::Unreachable, load: None };
+                        let input =
+                            Input::Ended { sess, setup, how: AttemptOutcome::Unreachable, load: None };
                         self.plan(net * 2.0, Event::Reaches { director, life, input });
                     }
                 }
@@ -203,7 +204,7 @@
                 }
                 seat.out = None;
                 let over = seat.over;
-                let how = if node.is_some() { Ending::Cancelled } else { Ending::Unsent };
+                let how = if node.is_some() { AttemptOutcome::Cancelled } else { AttemptOutcome::Unsent };
                 seat.may_have_run |= node.is_some();
                 if over {
                     seats.remove(&sess);
@@ -258,7 +259,7 @@
 }
 
 /// Nobody waits for it any longer.
-fn end(seats: &mut BTreeMap<Sess, Seat>, sess: Sess) {
+fn end(seats: &mut BTreeMap<SessionId, Seat>, sess: SessionId) {
     if let Some(seat) = seats.get_mut(&sess) {
         seat.over = true;
         if seat.out.is_none() && seat.plays_at.is_none() {
@@ -268,7 +269,7 @@
 }
 
 /// What came in, as the shell keeps it.
-fn noted(seats: &mut BTreeMap<Sess, Seat>, input: &Input) {
+fn noted(seats: &mut BTreeMap<SessionId, Seat>, input: &Input) {
     match *input {
         Input::Started { sess, setup, .. } => {
             if let Some(seat) = seats.get_mut(&sess)
@@ -283,7 +284,10 @@
                 && seat.out.is_some_and(|(out, _)| out == setup)
             {
                 seat.out = None;
-                seat.may_have_run |= !matches!(how, Ending::Full | Ending::Unreachable | Ending::Unsent);
+                seat.may_have_run |= !matches!(
+                    how,
+                    AttemptOutcome::Full | AttemptOutcome::Unreachable | AttemptOutcome::Unsent
+                );
                 if seat.over {
                     seats.remove(&sess);
                 }
--- a/crates/lab/src/emulator/world.rs
+++ b/crates/lab/src/emulator/world.rs
@@ -3,8 +3,8 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-use ashglade::ids::{Node, SetupNo};
-use ashglade::interface::Care;
+use ashglade::ids::{NodeId, SetupNumber};
+use ashglade::interface::RetrySafety;
 use ashglade::time::Instant;
 use ashglade_discovery::{Entry, List, Standing};
 use ashglade_engine::{Answer, Input};
@@ -63,7 +63,7 @@
     Setup {
         key: Key,
         life: u32,
-        setup: SetupNo,
+        setup: SetupNumber,
         node: usize,
         rung: u8,
     },
@@ -71,7 +71,7 @@
     SetUp {
         key: Key,
         life: u32,
-        setup: SetupNo,
+        setup: SetupNumber,
         node: usize,
         process: u32,
     },
@@ -142,7 +142,7 @@
     /// What is wrong between directors.
     pub cuts: talk::Cuts,
     pub fleet: Fleet,
-    pub node_of: BTreeMap<Node, usize>,
+    pub node_of: BTreeMap<NodeId, usize>,
     pub list: List,
     stale: f64,
     pub drain_grace: f64,
@@ -346,7 +346,7 @@
         seat.map_or(1, |seat| self.viewers[seat.viewer].tracks())
     }
 
-    fn setup_reaches(&mut self, key: Key, life: u32, setup: SetupNo, node: usize, rung: u8) {
+    fn setup_reaches(&mut self, key: Key, life: u32, setup: SetupNumber, node: usize, rung: u8) {
         let (director, sess) = key;
         let shell = &self.shells[usize::from(director)];
         // The director has given it up, or is gone: its connection was closed before.
@@ -373,18 +373,20 @@
                 return self.plan_at(at.max(self.now), Event::SetUp { key, life, setup, node, process });
             }
             Handled::Unheard => return,
-            Handled::Full => Input::Ended { sess, setup, how: ashglade::interface::Ending::Full, load },
+            Handled::Full => {
+                Input::Ended { sess, setup, how: ashglade::interface::AttemptOutcome::Full, load }
+            }
             Handled::Fault => {
                 self.report.failed_at.push(self.secs());
-                Input::Ended { sess, setup, how: ashglade::interface::Ending::Fault, load }
+                Input::Ended { sess, setup, how: ashglade::interface::AttemptOutcome::Fault, load }
             }
             Handled::Reset => {
-                Input::Ended { sess, setup, how: ashglade::interface::Ending::Lost, load: None }
+                Input::Ended { sess, setup, how: ashglade::interface::AttemptOutcome::Lost, load: None }
             }
             Handled::Fell => {
                 self.report.fallen += 1;
                 self.breach(format!("rule 4: node {node} was pushed over"));
-                Input::Ended { sess, setup, how: ashglade::interface::Ending::Lost, load: None }
+                Input::Ended { sess, setup, how: ashglade::interface::AttemptOutcome::Lost, load: None }
             }
         };
         self.plan(self.net, Event::Reaches { director, life, input });
@@ -400,7 +402,7 @@
 
     /// Whether a SETUP may follow one that may have run.
     pub fn fragile(&self, group: usize) -> bool {
-        self.settings.headend.groups.get(group).is_some_and(|g| g.care == Care::Fragile)
+        self.settings.headend.groups.get(group).is_some_and(|g| g.retry_safety == RetrySafety::Fragile)
     }
 
     fn change(&mut self, change: Change) {
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -181,7 +181,7 @@
 
 /// What the door costs a request that goes in and comes out, in nanoseconds, with so many clients and places to wait taken.
 fn door_cost(waiting: u64) -> f64 {
-    use ashglade::ids::{Group, Sess};
+    use ashglade::ids::{GroupId, SessionId};
     use ashglade::time::{Instant as At, Span};
     use ashglade_admission::{Came, Door, Request, Terms, Verdict};
     const REQUESTS: u64 = 200_000;
@@ -197,8 +197,8 @@
     let mut door = Door::new(terms, At::from_ms(0.0));
     let (start_target, setup_timeout) = (Span::from_secs(3600.0), Span::from_secs(36_000.0));
     let request = |n: u64| Request {
-        sess: Sess(n),
-        group: Group((n % 2) as usize),
+        sess: SessionId(n),
+        group: GroupId((n % 2) as usize),
         tenant: 0,
         client: n,
         start_target,
--- a/crates/lab/src/measure_hls.rs
+++ b/crates/lab/src/measure_hls.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use ashglade::ids::{Group, Sess, Title};
+use ashglade::ids::{GroupId, SessionId, TitleId};
 use ashglade_hls::playlist::{self, Place};
 use ashglade_hls::{Ask, Key, Keys, Token};
 use ashglade_standin::hls_player::{Http, uris};
@@ -144,7 +144,7 @@
     let url = Url::parse("http://10.0.0.1/renewal/v1/index.m3u8").map_err(|e| e.to_string())?;
     let place = Place { url: &url, folder: "/renewal/" };
     let keys = Keys::new(vec![Key { id: 1, secret: vec![7; 32] }]).ok_or("no key")?;
-    let token = Token { sess: Sess(1), title: Title(1), group: Group(0), expires: 1 };
+    let token = Token { sess: SessionId(1), title: TitleId(1), group: GroupId(0), expires: 1 };
     let signed = keys.sign(&token);
     let ask = Ask::Part(Some(1));
     let give = |path: &str| {
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashglade::ids::{Cell, Model, Zone};
-use ashglade::interface::Place;
+use ashglade::ids::{CellId, ModelId, ZoneId};
+use ashglade::interface::NodeInfo;
 use ashglade_discovery::{Entry, Standing};
 use ashglade_judge::{self as judge, Plan, Traffic, Verdict, What};
 use ashglade_settings::Settings;
@@ -306,14 +306,14 @@
 /// What all nodes of a day go by: uplinks of racks, the ladder's rates, the pace of cold ones.
 pub fn terms(settings: &Settings) -> (Vec<f64>, Vec<f64>, ColdPace) {
     let head = &settings.headend;
-    let uplink = if head.uplink > 0.0 { head.uplink } else { f64::INFINITY };
+    let uplink = if head.uplink_kb_per_s > 0.0 { head.uplink_kb_per_s } else { f64::INFINITY };
     let cold = ColdPace {
-        from: head.cold_from,
-        warm_after: head.warm_after.as_ms() / 1e3,
-        multiple: head.fall_multiple,
-        span: head.fall_span.as_ms() / 1e3,
+        from: head.slow_start_initial_fraction,
+        warm_after: head.slow_start_duration.as_ms() / 1e3,
+        multiple: head.overload_multiple,
+        span: head.overload_window.as_ms() / 1e3,
     };
-    (vec![uplink; head.racks.into()], head.ladder.iter().map(|&(kb, _)| kb).collect(), cold)
+    (vec![uplink; head.rack_count.into()], head.ladder.iter().map(|&(kb, _)| kb).collect(), cold)
 }
 
 /// Nodes one after the other over zones and cells.
@@ -324,18 +324,19 @@
         let model = settings.names.models.iter().position(|m| Some(m) == kind.model.as_ref()).unwrap_or(0);
         for _ in 0..kind.count.unwrap_or(0) {
             let i = specs.len();
-            let cell = (i % usize::from(head.cells)) as u16;
+            let cell = (i % usize::from(head.cell_count)) as u16;
             let weight = kind.weight.unwrap_or(1.0);
             let name = format!("node-{i}");
             specs.push(Spec {
                 name: name.clone(),
-                rack: usize::from(cell) % usize::from(head.racks),
-                places: head.places.get(model).map_or(1, |&p| p as usize),
-                link: weight * head.link_unit,
+                rack: usize::from(cell) % usize::from(head.rack_count),
+                places: head.max_streams.get(model).map_or(1, |&p| p as usize),
+                link: weight * head.link_kb_per_s_per_weight,
                 guard: kind.guard.unwrap_or(false),
             });
-            let zone = Zone((i % settings.names.zones.len()) as u8);
-            let place = Place { zone, model: Model(model as u8), cell: Cell(cell), weight, started: None };
+            let zone = ZoneId((i % settings.names.zones.len()) as u8);
+            let place =
+                NodeInfo { zone, model: ModelId(model as u8), cell: CellId(cell), weight, started: None };
             let address: SocketAddr = ([127, 0, 0, 1], 0).into();
             entries.push(Entry { name, address, http: None, id: None, place, standing: Standing::Ready });
         }
@@ -344,24 +345,24 @@
 }
 
 fn plan(day: &Day, settings: &Settings) -> Plan {
-    use ashglade::interface::{Care, Reach};
+    use ashglade::interface::{RetrySafety, RetryScope};
     let head = &settings.headend;
     let groups = head.groups.iter().zip(&settings.group_names).map(|(group, name)| judge::Group {
         name: name.clone(),
         utility: group.utility,
         start_target: group.start_target.as_ms(),
-        care: match group.care {
-            Care::Safe => judge::Care::Safe,
-            Care::Dedup => judge::Care::Dedup,
-            Care::Fragile => judge::Care::Fragile,
+        care: match group.retry_safety {
+            RetrySafety::Safe => judge::Care::Safe,
+            RetrySafety::Dedup => judge::Care::Dedup,
+            RetrySafety::Fragile => judge::Care::Fragile,
         },
-        reach: match group.reach {
-            Reach::Anywhere => judge::Reach::Anywhere,
-            Reach::SameZone => judge::Reach::SameZone,
-            Reach::SameCell => judge::Reach::SameCell,
+        reach: match group.retry_scope {
+            RetryScope::Anywhere => judge::Reach::Anywhere,
+            RetryScope::SameZone => judge::Reach::SameZone,
+            RetryScope::SameCell => judge::Reach::SameCell,
         },
-        repeat_window: group.repeat_window.as_ms(),
-        floor: group.floor.0,
+        repeat_window: group.retry_window.as_ms(),
+        floor: group.floor_rung.0,
         seats: group.seats,
     });
     let (specs, entries) = nodes(day, settings);
@@ -375,11 +376,11 @@
         groups: groups.collect(),
         nodes: nodes.collect(),
         drain_grace: day.drain_grace_ms.unwrap_or(0.0),
-        cold_from: head.cold_from,
-        warm_after: head.warm_after.as_ms(),
-        fall_multiple: head.fall_multiple,
-        fall_span: head.fall_span.as_ms(),
-        ration: head.ration.map(|r| (r.free, r.per_session, r.span.as_ms())),
+        cold_from: head.slow_start_initial_fraction,
+        warm_after: head.slow_start_duration.as_ms(),
+        fall_multiple: head.overload_multiple,
+        fall_span: head.overload_window.as_ms(),
+        ration: head.retry_budget.map(|r| (r.base_retries, r.retries_per_session, r.window.as_ms())),
         slack: day.slack_ms.unwrap_or(60.0),
         shared: shared(settings),
     }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -17,7 +17,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-use ashglade::ids::{Node, Sess};
+use ashglade::ids::{NodeId, SessionId};
 use ashglade::time::{Instant, Span};
 use serde::{Deserialize, Serialize};
 
@@ -26,7 +26,7 @@
 /// A session at a node, as far as it takes to end it there.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Held {
-    pub node: Node,
+    pub node: NodeId,
     pub address: SocketAddr,
     pub url: String,
     /// The node's name for the session.
@@ -66,7 +66,7 @@
 /// A tear-down to be tried now.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
-    pub sess: Sess,
+    pub sess: SessionId,
     pub held: Held,
 }
 
@@ -92,7 +92,7 @@
 /// What is owed at one node. Its debts share their pauses: a node that is away is asked for one of them at a time.
 #[derive(Debug)]
 struct Queue {
-    waiting: VecDeque<Sess>,
+    waiting: VecDeque<SessionId>,
     out: usize,
     /// The next pause; more than the first while the node is away.
     pause: Span,
@@ -104,11 +104,11 @@
 pub struct Ledger {
     terms: Terms,
     random: oorandom::Rand64,
-    held: BTreeMap<Sess, Held>,
-    debts: BTreeMap<Sess, Debt>,
-    queues: BTreeMap<Node, Queue>,
+    held: BTreeMap<SessionId, Held>,
+    debts: BTreeMap<SessionId, Debt>,
+    queues: BTreeMap<NodeId, Queue>,
     /// When each queue that waits is due.
-    due: BTreeSet<(Instant, Node)>,
+    due: BTreeSet<(Instant, NodeId)>,
     pub tally: Tally,
 }
 
@@ -135,30 +135,30 @@
     }
 
     /// A node set a session up.
-    pub fn hold(&mut self, sess: Sess, held: Held) {
+    pub fn hold(&mut self, sess: SessionId, held: Held) {
         self.tally.held += 1;
         self.held.insert(sess, held);
         self.keep_bound();
     }
 
     /// The node said that it ended the session.
-    pub fn ended(&mut self, sess: Sess) {
+    pub fn ended(&mut self, sess: SessionId) {
         self.held.remove(&sess);
     }
 
     /// The session is over here, and the node has not said that it is there.
-    pub fn owe(&mut self, sess: Sess, now: Instant) {
+    pub fn owe(&mut self, sess: SessionId, now: Instant) {
         if let Some(held) = self.held.remove(&sess) {
             self.debt(sess, held, now);
         }
     }
 
     /// What an earlier director held when it ended, as its pages tell.
-    pub fn inherit(&mut self, sess: Sess, held: Held, now: Instant) {
+    pub fn inherit(&mut self, sess: SessionId, held: Held, now: Instant) {
         self.debt(sess, held, now);
     }
 
-    fn debt(&mut self, sess: Sess, held: Held, now: Instant) {
+    fn debt(&mut self, sess: SessionId, held: Held, now: Instant) {
         self.tally.owed += 1;
         let node = held.node;
         self.debts.insert(sess, Debt { held, since: now, out: false });
@@ -175,7 +175,7 @@
     }
 
     /// The queue is looked at again at this time.
-    fn wait(&mut self, node: Node, at: Instant) {
+    fn wait(&mut self, node: NodeId, at: Instant) {
         let Some(queue) = self.queues.get_mut(&node) else { return };
         if let Some(before) = queue.due.replace(at) {
             self.due.remove(&(before, node));
@@ -193,7 +193,7 @@
         }
     }
 
-    fn strike(&mut self, sess: Sess) {
+    fn strike(&mut self, sess: SessionId) {
         if let Some(debt) = self.debts.remove(&sess)
             && let Some(queue) = self.queues.get_mut(&debt.held.node)
         {
@@ -207,7 +207,7 @@
 
     /// What is to be tried now. What a node has forgotten by itself is struck out; its sessions are returned so that
     /// pages can be.
-    pub fn calls(&mut self, now: Instant) -> (Vec<Call>, Vec<Sess>) {
+    pub fn calls(&mut self, now: Instant) -> (Vec<Call>, Vec<SessionId>) {
         let (mut calls, mut struck) = (Vec::new(), Vec::new());
         while let Some(&(at, node)) = self.due.first().filter(|(at, _)| *at <= now) {
             self.due.remove(&(at, node));
@@ -237,7 +237,7 @@
     }
 
     /// How a try ended; true if the session is struck out.
-    pub fn told(&mut self, sess: Sess, outcome: Outcome, now: Instant) -> bool {
+    pub fn told(&mut self, sess: SessionId, outcome: Outcome, now: Instant) -> bool {
         let Some(debt) = self.debts.get_mut(&sess).filter(|debt| debt.out) else { return false };
         debt.out = false;
         let node = debt.held.node;
@@ -264,9 +264,10 @@
     }
 
     /// A node has started again: it holds nothing from before. The sessions that are struck out.
-    pub fn started(&mut self, node: Node, at: Instant) -> Vec<Sess> {
+    pub fn started(&mut self, node: NodeId, at: Instant) -> Vec<SessionId> {
         let before = |debt: &Debt| debt.held.node == node && debt.since <= at && !debt.out;
-        let gone: Vec<Sess> = self.debts.iter().filter(|(_, d)| before(d)).map(|(&sess, _)| sess).collect();
+        let gone: Vec<SessionId> =
+            self.debts.iter().filter(|(_, d)| before(d)).map(|(&sess, _)| sess).collect();
         for &sess in &gone {
             self.strike(sess);
             self.tally.forgotten += 1;
--- a/crates/ledger/src/pages.rs
+++ b/crates/ledger/src/pages.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use ashglade::ids::Sess;
+use ashglade::ids::SessionId;
 use serde::{Deserialize, Serialize};
 
 use crate::Held;
@@ -11,8 +11,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Line {
-    Held(Sess, Held),
-    Struck(Sess),
+    Held(SessionId, Held),
+    Struck(SessionId),
 }
 
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
@@ -23,7 +23,7 @@
 }
 
 /// What is still open at the end of these pages.
-pub fn open(text: &str) -> Result<BTreeMap<Sess, Held>, Trouble> {
+pub fn open(text: &str) -> Result<BTreeMap<SessionId, Held>, Trouble> {
     let mut open = BTreeMap::new();
     for (i, line) in text.split_inclusive('\n').enumerate() {
         match serde_json::from_str(line) {
--- a/crates/ledger/src/tests.rs
+++ b/crates/ledger/src/tests.rs
@@ -5,7 +5,7 @@
 fn held(node: u64) -> Held {
     let address = ([127, 0, 0, 1], node as u16).into();
     let (url, session) = ("rtsp://n/t/r0".into(), "7".into());
-    Held { node: Node(node), address, url, session, timeout: Span::from_secs(60.0) }
+    Held { node: NodeId(node), address, url, session, timeout: Span::from_secs(60.0) }
 }
 
 fn at(ms: f64) -> Instant {
@@ -15,7 +15,7 @@
 /// Runs until `ms` against a node that answers from `up` on, each call taking 5 ms; the times of calls.
 fn run(ledger: &mut Ledger, until: f64, up: f64) -> Vec<f64> {
     let mut calls = Vec::new();
-    let mut out: Vec<(f64, Sess)> = Vec::new();
+    let mut out: Vec<(f64, SessionId)> = Vec::new();
     loop {
         let due = ledger.next_due().map_or(f64::INFINITY, Instant::as_ms);
         let back = out.first().map_or(f64::INFINITY, |(at, _)| *at);
@@ -41,8 +41,8 @@
 fn fifty_sessions_lost_with_one_node_come_back_spread_and_few_at_once() {
     let mut ledger = Ledger::new(Terms::default(), 4);
     for n in 0..50 {
-        ledger.hold(Sess(n), held(1));
-        ledger.owe(Sess(n), at(0.0));
+        ledger.hold(SessionId(n), held(1));
+        ledger.owe(SessionId(n), at(0.0));
     }
     // The node is away for three seconds.
     let calls = run(&mut ledger, 20_000.0, 3000.0);
@@ -55,30 +55,30 @@
 fn what_a_node_forgets_or_loses_with_a_restart_is_struck_out() {
     let mut ledger = Ledger::new(Terms::default(), 4);
     for n in 0..4 {
-        ledger.hold(Sess(n), held(n / 2 + 1));
-        ledger.owe(Sess(n), at(0.0));
+        ledger.hold(SessionId(n), held(n / 2 + 1));
+        ledger.owe(SessionId(n), at(0.0));
     }
-    let gone = ledger.started(Node(1), at(100.0));
+    let gone = ledger.started(NodeId(1), at(100.0));
     // The other node answers nothing, ever.
     let calls = run(&mut ledger, 200_000.0, f64::INFINITY);
     let last = calls.last().copied().unwrap_or_default();
     assert!(last < 61_000.0 + 8_000.0, "no call once the node has forgotten it, last {last}");
-    expect!["[Sess(0), Sess(1)] 14 calls (0, 0) Tally { held: 4, owed: 4, calls: 14, ended: 0, forgotten: 4, let_go: 0 }"].assert_eq(&format!("{gone:?} {} calls {:?} {:?}", calls.len(), ledger.len(), ledger.tally));
+    expect!["[SessionId(0), SessionId(1)] 14 calls (0, 0) Tally { held: 4, owed: 4, calls: 14, ended: 0, forgotten: 4, let_go: 0 }"].assert_eq(&format!("{gone:?} {} calls {:?} {:?}", calls.len(), ledger.len(), ledger.tally));
 }
 
 #[test]
 fn held_and_ended_owes_nothing_and_an_answer_counts_once() {
     let mut ledger = Ledger::new(Terms::default(), 4);
-    ledger.hold(Sess(1), held(1));
-    ledger.ended(Sess(1));
-    ledger.owe(Sess(1), at(0.0));
+    ledger.hold(SessionId(1), held(1));
+    ledger.ended(SessionId(1));
+    ledger.owe(SessionId(1), at(0.0));
     assert!(ledger.is_empty() && ledger.next_due().is_none());
-    ledger.hold(Sess(2), held(1));
-    ledger.owe(Sess(2), at(0.0));
+    ledger.hold(SessionId(2), held(1));
+    ledger.owe(SessionId(2), at(0.0));
     let (calls, _) = ledger.calls(at(1000.0));
     assert_eq!(calls.len(), 1);
-    assert!(ledger.told(Sess(2), Outcome::Ended, at(1001.0)));
-    assert!(!ledger.told(Sess(2), Outcome::Ended, at(1002.0)), "told twice");
+    assert!(ledger.told(SessionId(2), Outcome::Ended, at(1001.0)));
+    assert!(!ledger.told(SessionId(2), Outcome::Ended, at(1002.0)), "told twice");
     assert!(ledger.is_empty());
 }
 
@@ -86,8 +86,8 @@
 fn it_is_bounded_and_says_what_it_let_go() {
     let mut ledger = Ledger::new(Terms { bound: 10, ..Terms::default() }, 4);
     for n in 0..25 {
-        ledger.hold(Sess(n), held(n));
-        ledger.owe(Sess(n), at(0.0));
+        ledger.hold(SessionId(n), held(n));
+        ledger.owe(SessionId(n), at(0.0));
     }
     assert_eq!((ledger.len(), ledger.tally.let_go), ((0, 10), 15));
 }
@@ -97,14 +97,14 @@
     use pages::{Line, open, write};
     let mut text = String::new();
     for n in 1..=3 {
-        text += &write(&Line::Held(Sess(n), held(n)));
+        text += &write(&Line::Held(SessionId(n), held(n)));
     }
-    text += &write(&Line::Struck(Sess(2)));
-    let left: Vec<Sess> = open(&text).unwrap().into_keys().collect();
-    assert_eq!(left, [Sess(1), Sess(3)]);
+    text += &write(&Line::Struck(SessionId(2)));
+    let left: Vec<SessionId> = open(&text).unwrap().into_keys().collect();
+    assert_eq!(left, [SessionId(1), SessionId(3)]);
     // Cut short in the last line, that line was not written.
-    let left: Vec<Sess> = open(&text[..text.len() - 3]).unwrap().into_keys().collect();
-    assert_eq!(left, [Sess(1), Sess(2), Sess(3)]);
+    let left: Vec<SessionId> = open(&text[..text.len() - 3]).unwrap().into_keys().collect();
+    assert_eq!(left, [SessionId(1), SessionId(2), SessionId(3)]);
     expect!["line 5: unknown variant `kept`, expected `held` or `struck` at line 1 column 7"]
         .assert_eq(&open(&(text + "{\"kept\":1}\n")).unwrap_err().to_string());
 }
--- a/crates/peer-transport/src/teller.rs
+++ b/crates/peer-transport/src/teller.rs
@@ -1,6 +1,6 @@
 //! What the engine is told of what is shared: what changed, and no more. The same for the running director and the emulator.
 
-use ashglade::ids::Node;
+use ashglade::ids::NodeId;
 use ashglade::time::{Instant, Span};
 use ashglade_engine::{Input, Lapse};
 use ashglade_shared::rights::Held;
@@ -14,7 +14,7 @@
     repeats_span: Option<Span>,
     turns: (Vec<usize>, Option<Lapse>),
     repeats: Option<(usize, Option<Lapse>)>,
-    last: Vec<Node>,
+    last: Vec<NodeId>,
 }
 
 impl Teller {
@@ -31,7 +31,7 @@
         self.repeats.as_ref().map(|(most, _)| *most)
     }
 
-    pub fn last(&self) -> &[Node] {
+    pub fn last(&self) -> &[NodeId] {
         &self.last
     }
 
@@ -56,7 +56,7 @@
                 news.push(Input::Repeats { most, span, lapse });
             }
         }
-        let last: Vec<Node> = view.left.keys().map(|&node| Node(node)).collect();
+        let last: Vec<NodeId> = view.left.keys().map(|&node| NodeId(node)).collect();
         if last != self.last {
             self.last.clone_from(&last);
             news.push(Input::Doubted { nodes: last });
--- a/crates/peer-transport/src/terms.rs
+++ b/crates/peer-transport/src/terms.rs
@@ -34,7 +34,7 @@
     let talk = settings.talk.as_ref()?;
     let headend = &settings.headend;
     let seconds = |d: Duration| Span::from_secs(d.as_secs_f64());
-    let directors = headend.directors;
+    let directors = headend.director_count;
     // A turn is in two halves: the first is its director's for good, the second lent.
     let mut pools = vec![Pool { kept: 1, lent: directors, always: true }];
     let share = talk.share.as_ref();
@@ -45,11 +45,11 @@
     }
     // Between two holders of a right: the longest span in which nodes count, what a connection and an answer may take on
     // top, and what is given up early.
-    let counted = repeats.map_or(Span::ZERO, |repeats| repeats.span).max(headend.fall_span);
+    let counted = repeats.map_or(Span::ZERO, |repeats| repeats.span).max(headend.overload_window);
     let rest = counted + under_way(settings) + seconds(LOOK) + Span::from_secs(EARLY);
     let never = Span::from_secs(NEVER);
     Some(Terms {
-        me: headend.me,
+        me: headend.director_index,
         zones: talk.zones.clone(),
         council: talk.council,
         lease: seconds(talk.lease),
--- a/crates/platform/src/ask.rs
+++ b/crates/platform/src/ask.rs
@@ -1,7 +1,7 @@
 //! A viewer's set-up, read into what the engine is asked. Every field is checked against the settings: what can't be
 //! meant is told to its sender and reaches no node.
 
-use ashglade::ids::{Cell, Group, Rung, Title};
+use ashglade::ids::{CellId, GroupId, Rung, TitleId};
 use ashglade::time::Span;
 use ashglade_engine::Want;
 use ashglade_site::{Site, place};
@@ -103,14 +103,14 @@
             Span::from_ms(left.ok_or_else(|| wrong("left", format!("{text:?} is not up to {most} ms")))?)
         }
     };
-    let cells = site.headend.cells;
+    let cells = site.headend.cell_count;
     let description = message.description.clone().ok_or_else(|| wrong("blob", "is missing"))?;
     Ok(Ask {
         want: Want {
-            group: Group(group),
-            title: Title(title),
+            group: GroupId(group),
+            title: TitleId(title),
             top: Rung(whole("top", extras.top, 0, u16::from(u8::MAX))? as u8),
-            home: Cell(whole("home", extras.home, 0, cells.saturating_sub(1))?),
+            home: CellId(whole("home", extras.home, 0, cells.saturating_sub(1))?),
             copies: whole("copies", extras.copies, 1, cells)?,
             setup_timeout,
             tenant,
--- a/crates/platform/src/board.rs
+++ b/crates/platform/src/board.rs
@@ -9,8 +9,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{IpAddr, SocketAddr};
 
-use ashglade::ids::{Node, Rung, Sess, SetupNo};
-use ashglade::interface::Ending;
+use ashglade::ids::{NodeId, Rung, SessionId, SetupNumber};
+use ashglade::interface::AttemptOutcome;
 use ashglade::time::{Instant, Span};
 use ashglade_engine::{Answer, Effect, Engine, Input, Start, Tally};
 use ashglade_site::Site;
@@ -104,8 +104,8 @@
 
 /// A SETUP that is out.
 pub(crate) struct Out {
-    pub setup: SetupNo,
-    pub node: Node,
+    pub setup: SetupNumber,
+    pub node: NodeId,
     pub rung: Rung,
     pub until: Instant,
     /// Where it was written, and when.
@@ -123,7 +123,7 @@
     /// A SETUP of it was written: it may have run.
     pub begun: bool,
     /// The node where it stands, and since when.
-    pub at: Option<(Node, Instant)>,
+    pub at: Option<(NodeId, Instant)>,
     pub description: Option<String>,
     /// It has its answer, or nobody waits for one.
     pub answered: bool,
@@ -137,7 +137,7 @@
     useful: bool,
     /// Set-ups that are not in hand yet.
     arrived: usize,
-    open: BTreeSet<Sess>,
+    open: BTreeSet<SessionId>,
     standing: usize,
     /// It is to be closed if nothing has come meanwhile.
     closing: bool,
@@ -175,21 +175,21 @@
     begins: Option<Instant>,
     pub(crate) inputs: Vec<Input>,
     pub(crate) actions: Vec<Action>,
-    pub(crate) calls: BTreeMap<Sess, Call>,
-    pub(crate) tags: BTreeMap<Tag, Sess>,
+    pub(crate) calls: BTreeMap<SessionId, Call>,
+    pub(crate) tags: BTreeMap<Tag, SessionId>,
     next_sess: u64,
     arrivals: VecDeque<Arrival>,
     viewers: BTreeMap<Link, Viewer>,
     /// Descriptors that viewers' and nodes' connections may hold.
     descriptors: [usize; 2],
     releases: VecDeque<Release>,
-    pub(crate) peers: BTreeMap<Node, Peer>,
+    pub(crate) peers: BTreeMap<NodeId, Peer>,
     pub(crate) trunks: BTreeMap<Trunk, Line>,
     pub(crate) next_trunk: u64,
     pub(crate) next_echo: u64,
     /// Connections to nodes that we hung up, until their last word.
-    pub(crate) hung_up: BTreeMap<Trunk, Node>,
-    pub(crate) given_up: VecDeque<(Node, Tag)>,
+    pub(crate) hung_up: BTreeMap<Trunk, NodeId>,
+    pub(crate) given_up: VecDeque<(NodeId, Tag)>,
     look_at: Instant,
     stopping: Option<Instant>,
 }
@@ -346,7 +346,7 @@
                     self.tell_viewer(sess, line);
                 }
                 self.release(now, sess);
-                self.inputs.push(Input::Over { sess, how: Ending::Cancelled });
+                self.inputs.push(Input::Over { sess, how: AttemptOutcome::Cancelled });
             }
             Effect::Probe { probe, node } => self.probe(now, probe, node),
             Effect::Listed { .. } | Effect::Drained => {}
@@ -558,10 +558,10 @@
         link: Link,
         tag: Tag,
         ask: Option<Box<Ask>>,
-        at: Option<(Node, Instant)>,
-    ) -> Option<Sess> {
+        at: Option<(NodeId, Instant)>,
+    ) -> Option<SessionId> {
         let viewer = self.viewers.get_mut(&link)?;
-        let (sess, from, answered) = (Sess(self.next_sess), viewer.from, at.is_some());
+        let (sess, from, answered) = (SessionId(self.next_sess), viewer.from, at.is_some());
         self.next_sess += 1;
         if answered {
             viewer.standing += 1;
@@ -579,7 +579,7 @@
         let node = id_of(name);
         if self.peers.get(&node).is_some_and(|peer| peer.removed) {
             // Its node is gone: nobody would ever say that it is over.
-            return self.refuse(link, tag, causes::of_over(Ending::Lost));
+            return self.refuse(link, tag, causes::of_over(AttemptOutcome::Lost));
         }
         if self.calls.len() >= self.bounds.sessions {
             return self.refuse(link, tag, causes::CONGESTED);
@@ -591,7 +591,7 @@
     }
 
     /// The viewer gave up, ended the session or was lost.
-    fn leave(&mut self, sess: Sess) {
+    fn leave(&mut self, sess: SessionId) {
         let Some(call) = self.calls.get_mut(&sess) else { return };
         call.answered = true;
         let link = call.link;
@@ -603,7 +603,7 @@
         self.settle(sess);
     }
 
-    fn answer(&mut self, now: Instant, sess: Sess, answer: Answer) {
+    fn answer(&mut self, now: Instant, sess: SessionId, answer: Answer) {
         let Some(call) = self.calls.get_mut(&sess) else { return };
         call.answered = true;
         let (tag, link) = (call.tag, call.link);
@@ -623,7 +623,7 @@
     }
 
     /// On the connection of its set-up, or on any other of the same client.
-    pub(crate) fn tell_viewer(&mut self, sess: Sess, line: Bytes) {
+    pub(crate) fn tell_viewer(&mut self, sess: SessionId, line: Bytes) {
         let Some(call) = self.calls.get(&sess) else { return };
         let (own, from) = (call.link, call.from);
         if let Some(link) = self.connection_of(from, Some(own)) {
@@ -654,7 +654,7 @@
     }
 
     /// A session that stood is over: its viewer is released, if owed, and nothing is kept.
-    pub(crate) fn over(&mut self, now: Instant, sess: Sess, how: Ending, owed: bool) {
+    pub(crate) fn over(&mut self, now: Instant, sess: SessionId, how: AttemptOutcome, owed: bool) {
         self.inputs.push(Input::Over { sess, how });
         let Some(call) = self.calls.get(&sess) else { return };
         let (tag, from, link) = (call.tag, call.from, call.link);
@@ -666,7 +666,7 @@
         self.settle(sess);
     }
 
-    pub(crate) fn forget_standing(&mut self, sess: Sess) {
+    pub(crate) fn forget_standing(&mut self, sess: SessionId) {
         let Some(call) = self.calls.get_mut(&sess) else { return };
         let Some((node, _)) = call.at.take() else { return };
         if let Some(peer) = self.peers.get_mut(&node) {
@@ -678,7 +678,7 @@
     }
 
     /// Lets go of a session of which nothing is open any longer.
-    pub(crate) fn settle(&mut self, sess: Sess) {
+    pub(crate) fn settle(&mut self, sess: SessionId) {
         let over = |call: &Call| call.answered && call.out.is_none() && call.at.is_none();
         if self.calls.get(&sess).is_some_and(over)
             && let Some(call) = self.calls.remove(&sess)
--- a/crates/platform/src/bus.rs
+++ b/crates/platform/src/bus.rs
@@ -3,8 +3,8 @@
 use std::hash::Hasher;
 use std::net::SocketAddr;
 
-use ashglade::ids::{Cell, Model, Node, Zone};
-use ashglade::interface::Place;
+use ashglade::ids::{CellId, ModelId, NodeId, ZoneId};
+use ashglade::interface::NodeInfo;
 use ashglade::time::Instant;
 use ashglade_site::{Names, place};
 use serde::{Deserialize, Deserializer};
@@ -12,10 +12,10 @@
 
 /// A media node's id: from its name, so that it is the same at every director and after restarts, while one that
 /// takes the address of another is another node.
-pub fn id_of(name: &str) -> Node {
+pub fn id_of(name: &str) -> NodeId {
     let mut hasher = siphasher::sip::SipHasher13::new();
     hasher.write(name.as_bytes());
-    Node(hasher.finish())
+    NodeId(hasher.finish())
 }
 
 /// What a read of the bus returns, and what the configuration keeps of it.
@@ -83,9 +83,9 @@
 #[derive(Clone, Debug)]
 pub struct Entry {
     pub name: String,
-    pub node: Node,
+    pub node: NodeId,
     pub address: Option<SocketAddr>,
-    pub place: Place,
+    pub place: NodeInfo,
     pub ready: bool,
     pub removed: bool,
 }
@@ -120,10 +120,10 @@
         let entry = |e: Endpoint| Entry {
             node: id_of(&e.name),
             address: e.address,
-            place: Place {
-                zone: Zone(id(&names.zones, &e.zone)),
-                model: Model(id(&names.models, &e.model)),
-                cell: Cell(e.group),
+            place: NodeInfo {
+                zone: ZoneId(id(&names.zones, &e.zone)),
+                model: ModelId(id(&names.models, &e.model)),
+                cell: CellId(e.group),
                 weight: e.weight,
                 started: (e.since_ms > 0.0).then(|| Instant::from_ms(e.since_ms)),
             },
--- a/crates/platform/src/causes.rs
+++ b/crates/platform/src/causes.rs
@@ -1,6 +1,6 @@
 //! Causes of releases, both ways, in one table each. What a SETUP's ending proves is read here and nowhere else.
 
-use ashglade::interface::Ending;
+use ashglade::interface::AttemptOutcome;
 
 use ashglade_engine::{Answer, Why};
 
@@ -14,21 +14,21 @@
 pub const UNUSABLE: u16 = 100;
 
 /// A release in place of an answer.
-pub fn of_setup(cause: u16) -> Ending {
+pub fn of_setup(cause: u16) -> AttemptOutcome {
     match cause {
-        34 => Ending::Full,
-        102 => Ending::Unsent,
-        47 => Ending::Fault,
-        _ => Ending::Lost,
+        34 => AttemptOutcome::Full,
+        102 => AttemptOutcome::Unsent,
+        47 => AttemptOutcome::Fault,
+        _ => AttemptOutcome::Lost,
     }
 }
 
 /// A release of a session that stood, and whether its viewer is owed one.
-pub fn of_session(cause: u16) -> (Ending, bool) {
+pub fn of_session(cause: u16) -> (AttemptOutcome, bool) {
     match cause {
-        16 => (Ending::Played, true),
-        31 => (Ending::Cancelled, false),
-        _ => (Ending::Lost, true),
+        16 => (AttemptOutcome::Played, true),
+        31 => (AttemptOutcome::Cancelled, false),
+        _ => (AttemptOutcome::Lost, true),
     }
 }
 
@@ -43,6 +43,6 @@
 }
 
 /// What the viewer is told when its session is over.
-pub fn of_over(how: Ending) -> u16 {
-    if how == Ending::Played { CLEARED } else { CUT }
+pub fn of_over(how: AttemptOutcome) -> u16 {
+    if how == AttemptOutcome::Played { CLEARED } else { CUT }
 }
--- a/crates/platform/src/peers.rs
+++ b/crates/platform/src/peers.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-use ashglade::ids::{Node, Rung, Sess, SetupNo};
-use ashglade::interface::{Ending, Gauge};
+use ashglade::ids::{NodeId, Rung, SessionId, SetupNumber};
+use ashglade::interface::{AttemptOutcome, LoadMetric};
 use ashglade::time::{Instant, Span};
 use ashglade_engine::{Input, Load, Standing, Told};
 use bytes::Bytes;
@@ -46,11 +46,11 @@
     pub removed: bool,
     trunks: BTreeSet<Trunk>,
     /// Sessions whose SETUP waits for a connection, and probes.
-    waiting: VecDeque<Sess>,
+    waiting: VecDeque<SessionId>,
     probes: Vec<u64>,
     /// Lines that any connection may carry: releases, new rungs; each with since when it is owed.
     pending: VecDeque<(Instant, Bytes)>,
-    pub standing: BTreeSet<Sess>,
+    pub standing: BTreeSet<SessionId>,
     heard: Instant,
     tested: Option<Instant>,
     dialed: Instant,
@@ -86,13 +86,13 @@
 
 /// A connection to a node.
 pub(crate) struct Line {
-    pub node: Node,
+    pub node: NodeId,
     up: bool,
     made: Instant,
     heard: Instant,
     /// It came up at once after another broke just behind a word.
     resumes: bool,
-    open: BTreeSet<Sess>,
+    open: BTreeSet<SessionId>,
     /// Releases written here that the node has not confirmed.
     released: VecDeque<(Instant, Tag)>,
     /// Tests out, with the engine's number where it asked for one.
@@ -103,7 +103,7 @@
     // Events
 
     pub(crate) fn told(&mut self, now: Instant, news: News) {
-        let mut left: BTreeSet<Node> = BTreeSet::new();
+        let mut left: BTreeSet<NodeId> = BTreeSet::new();
         if news.whole {
             left.extend(self.peers.keys());
         }
@@ -144,15 +144,15 @@
     }
 
     /// What was there before is lost.
-    fn started_again(&mut self, now: Instant, node: Node, started: Instant) {
+    fn started_again(&mut self, now: Instant, node: NodeId, started: Instant) {
         let Some(peer) = self.peers.get(&node) else { return };
         let made = |trunk: &Trunk| self.trunks.get(trunk).is_some_and(|line| line.made < started);
         let old: Vec<Trunk> = peer.trunks.iter().copied().filter(made).collect();
         let since =
-            |sess: &Sess| self.calls.get(sess).and_then(|call| call.at).is_some_and(|at| at.1 < started);
-        let lost: Vec<Sess> = peer.standing.iter().copied().filter(since).collect();
+            |sess: &SessionId| self.calls.get(sess).and_then(|call| call.at).is_some_and(|at| at.1 < started);
+        let lost: Vec<SessionId> = peer.standing.iter().copied().filter(since).collect();
         for sess in lost {
-            self.over(now, sess, Ending::Lost, true);
+            self.over(now, sess, AttemptOutcome::Lost, true);
         }
         for trunk in old {
             self.let_go(now, trunk);
@@ -160,7 +160,7 @@
     }
 
     /// A session is handed over that plays at a node of this name, of which the list may tell a moment later.
-    pub(crate) fn named(&mut self, now: Instant, node: Node, name: &str) {
+    pub(crate) fn named(&mut self, now: Instant, node: NodeId, name: &str) {
         self.peers.entry(node).or_insert_with(|| Peer::new(name.to_string(), now));
     }
 
@@ -305,8 +305,8 @@
     }
 
     /// A node that says itself, on the connection that its session began on, that the session was lost has not ended.
-    fn spoke(&mut self, node: Node, how: Ending, unbroken: bool) {
-        if how == Ending::Lost && unbroken {
+    fn spoke(&mut self, node: NodeId, how: AttemptOutcome, unbroken: bool) {
+        if how == AttemptOutcome::Lost && unbroken {
             self.inputs.push(Input::WentOn { node });
         }
     }
@@ -330,7 +330,7 @@
             let Some(out) = call.out.take() else { continue };
             // It may have run, and may stand there unknown to us.
             let tag = call.tag;
-            self.inputs.push(Input::Ended { sess, setup: out.setup, how: Ending::Lost, load: None });
+            self.inputs.push(Input::Ended { sess, setup: out.setup, how: AttemptOutcome::Lost, load: None });
             self.owe(now, node, tag);
             self.settle(sess);
         }
@@ -360,30 +360,32 @@
     }
 
     /// All that stood at the node by then is lost, and nobody is there to be told anything.
-    fn lose_all(&mut self, now: Instant, node: Node, by: Instant) {
+    fn lose_all(&mut self, now: Instant, node: NodeId, by: Instant) {
         let Some(peer) = self.peers.get_mut(&node) else { return };
         peer.pending.retain(|(since, _)| *since > by);
-        let stood = |sess: &Sess| self.calls.get(sess).and_then(|call| call.at).is_none_or(|at| at.1 <= by);
-        let lost: Vec<Sess> = peer.standing.iter().copied().filter(stood).collect();
+        let stood =
+            |sess: &SessionId| self.calls.get(sess).and_then(|call| call.at).is_none_or(|at| at.1 <= by);
+        let lost: Vec<SessionId> = peer.standing.iter().copied().filter(stood).collect();
         for sess in lost {
-            self.over(now, sess, Ending::Lost, true);
+            self.over(now, sess, AttemptOutcome::Lost, true);
         }
     }
 
     /// What waits for a connection is not begun for one that has gone, whether or not the settings let a SETUP be given up.
-    pub(crate) fn recall_unsent(&mut self, sess: Sess) {
+    pub(crate) fn recall_unsent(&mut self, sess: SessionId) {
         let Some(call) = self.calls.get_mut(&sess) else { return };
         let Some(out) = call.out.take_if(|out| out.sent.is_none()) else { return };
         if let Some(peer) = self.peers.get_mut(&out.node) {
             peer.waiting.retain(|&other| other != sess);
         }
-        self.inputs.push(Input::Ended { sess, setup: out.setup, how: Ending::Unsent, load: None });
+        self.inputs.push(Input::Ended { sess, setup: out.setup, how: AttemptOutcome::Unsent, load: None });
     }
 
     /// What waits for a connection can't have one, if none is on its way.
-    fn no_trunk_for_waiting(&mut self, node: Node, reason: CloseReason) {
+    fn no_trunk_for_waiting(&mut self, node: NodeId, reason: CloseReason) {
         // For want of a descriptor of ours nothing was tried.
-        let how = if reason == CloseReason::Wanting { Ending::Unsent } else { Ending::Unreachable };
+        let how =
+            if reason == CloseReason::Wanting { AttemptOutcome::Unsent } else { AttemptOutcome::Unreachable };
         let Some(peer) = self.peers.get_mut(&node) else { return };
         if peer.trunks.iter().any(|trunk| self.trunks.get(trunk).is_some_and(|line| !line.up)) {
             return;
@@ -399,11 +401,11 @@
 
     // What the engine wants
 
-    pub(crate) fn set_up(&mut self, now: Instant, sess: Sess, out: Out) {
+    pub(crate) fn set_up(&mut self, now: Instant, sess: SessionId, out: Out) {
         let (node, setup) = (out.node, out.setup);
         let Some(call) = self.calls.get_mut(&sess) else { return };
         if self.peers.get(&node).is_none_or(|peer| peer.address.is_none()) {
-            return self.inputs.push(Input::Ended { sess, setup, how: Ending::Unsent, load: None });
+            return self.inputs.push(Input::Ended { sess, setup, how: AttemptOutcome::Unsent, load: None });
         }
         call.out = Some(out);
         match self.trunk(now, node) {
@@ -417,21 +419,21 @@
                     if let Some(call) = self.calls.get_mut(&sess) {
                         call.out = None;
                     }
-                    self.inputs.push(Input::Ended { sess, setup, how: Ending::Unsent, load: None });
+                    self.inputs.push(Input::Ended { sess, setup, how: AttemptOutcome::Unsent, load: None });
                 }
             },
         }
     }
 
     /// Writes the SETUP that waits. From here on it may have run.
-    fn send(&mut self, now: Instant, sess: Sess, trunk: Trunk) {
+    fn send(&mut self, now: Instant, sess: SessionId, trunk: Trunk) {
         let Some(call) = self.calls.get_mut(&sess) else { return };
         let (Some(out), Some(ask)) = (call.out.as_mut(), call.ask.as_ref()) else { return };
         let setup = out.setup;
         if call.answered || now >= out.until {
             // Nobody waits for it any longer.
             call.out = None;
-            self.inputs.push(Input::Ended { sess, setup, how: Ending::Unsent, load: None });
+            self.inputs.push(Input::Ended { sess, setup, how: AttemptOutcome::Unsent, load: None });
             return self.settle(sess);
         }
         let (rung, left) = (out.rung.0.to_string(), (out.until - now).as_ms().floor().max(1.0).to_string());
@@ -440,7 +442,7 @@
         let line = message::write(Verb::Start, call.tag, &opts, None, Some(&ask.description));
         let Some(line) = line else {
             call.out = None;
-            return self.inputs.push(Input::Ended { sess, setup, how: Ending::Unsent, load: None });
+            return self.inputs.push(Input::Ended { sess, setup, how: AttemptOutcome::Unsent, load: None });
         };
         out.sent = Some((trunk, now));
         call.begun = true;
@@ -451,7 +453,7 @@
         self.actions.push(Action::ToNode(trunk, line));
     }
 
-    pub(crate) fn withdraw(&mut self, now: Instant, sess: Sess, setup: SetupNo, if_unsent: bool) {
+    pub(crate) fn withdraw(&mut self, now: Instant, sess: SessionId, setup: SetupNumber, if_unsent: bool) {
         let Some(call) = self.calls.get_mut(&sess) else { return };
         let Some(out) = call.out.as_ref().filter(|out| out.setup == setup) else { return };
         let (tag, node, late, sent) = (call.tag, out.node, now >= out.until, out.sent);
@@ -460,7 +462,7 @@
             if let Some(peer) = self.peers.get_mut(&node) {
                 peer.waiting.retain(|&other| other != sess);
             }
-            let how = if late { Ending::Unreachable } else { Ending::Unsent };
+            let how = if late { AttemptOutcome::Unreachable } else { AttemptOutcome::Unsent };
             self.inputs.push(Input::Ended { sess, setup, how, load: None });
             return self.settle(sess);
         };
@@ -473,7 +475,7 @@
             self.given_up.pop_front();
             warn!("more SETUPs were given up than are held: what comes of the oldest stays where it is");
         }
-        self.inputs.push(Input::Ended { sess, setup, how: Ending::Silent, load: None });
+        self.inputs.push(Input::Ended { sess, setup, how: AttemptOutcome::Silent, load: None });
         if late && let Some(peer) = self.peers.get_mut(&node) {
             peer.doubted = Some(now);
         }
@@ -487,7 +489,7 @@
         self.settle(sess);
     }
 
-    pub(crate) fn change_rung(&mut self, now: Instant, sess: Sess, rung: Rung) {
+    pub(crate) fn change_rung(&mut self, now: Instant, sess: SessionId, rung: Rung) {
         let Some(call) = self.calls.get(&sess) else { return };
         if let Some((node, _)) = call.at {
             let tag = call.tag;
@@ -496,7 +498,7 @@
     }
 
     /// Tears the session down at its node, if it stands there.
-    pub(crate) fn release(&mut self, now: Instant, sess: Sess) {
+    pub(crate) fn release(&mut self, now: Instant, sess: SessionId) {
         if let Some((node, _)) = self.calls.get(&sess).and_then(|call| call.at)
             && let Some(tag) = self.calls.get(&sess).map(|call| call.tag)
         {
@@ -506,7 +508,7 @@
         self.settle(sess);
     }
 
-    pub(crate) fn probe(&mut self, now: Instant, probe: u64, node: Node) {
+    pub(crate) fn probe(&mut self, now: Instant, probe: u64, node: NodeId) {
         match self.trunk(now, node) {
             Some(trunk) => self.echo(trunk, Some(probe)),
             None => match self.peers.get_mut(&node) {
@@ -518,7 +520,7 @@
 
     // Connections
 
-    pub(crate) fn stands(&mut self, now: Instant, sess: Sess, node: Node) {
+    pub(crate) fn stands(&mut self, now: Instant, sess: SessionId, node: NodeId) {
         let Some(peer) = self.peers.get_mut(&node) else { return };
         peer.standing.insert(sess);
         if peer.trunks.is_empty() {
@@ -528,7 +530,7 @@
     }
 
     /// A SETUP has its answer, or is given up.
-    fn set_up_over(&mut self, sess: Sess) {
+    fn set_up_over(&mut self, sess: SessionId) {
         let out = self.calls.get_mut(&sess).and_then(|call| call.out.take());
         if let Some((trunk, _)) = out.and_then(|out| out.sent)
             && let Some(line) = self.trunks.get_mut(&trunk)
@@ -538,7 +540,7 @@
     }
 
     /// A connection that takes a further SETUP; where there is none, one is on its way if one may be.
-    fn trunk(&mut self, now: Instant, node: Node) -> Option<Trunk> {
+    fn trunk(&mut self, now: Instant, node: NodeId) -> Option<Trunk> {
         let peer = self.peers.get(&node)?;
         let streams = self.site.streams.unwrap_or(usize::MAX);
         let on = |trunk: &&Trunk| self.trunks.get(trunk).is_some_and(|l| l.up && l.open.len() < streams);
@@ -551,7 +553,7 @@
         None
     }
 
-    fn dial(&mut self, now: Instant, node: Node) {
+    fn dial(&mut self, now: Instant, node: NodeId) {
         let Some(peer) = self.peers.get_mut(&node) else { return };
         let Some(address) = peer.address.filter(|_| peer.trunks.len() < MOST_TRUNKS) else { return };
         if self.trunks.len() >= self.descriptors()[1] {
@@ -652,7 +654,7 @@
         self.actions.extend(line.map(|line| Action::ToNode(trunk, line)));
     }
 
-    fn owe(&mut self, now: Instant, node: Node, tag: Tag) {
+    fn owe(&mut self, now: Instant, node: NodeId, tag: Tag) {
         let Some(line) = give_up(tag) else { return };
         let owed = |peer: &Peer| peer.pending.iter().any(|(_, other)| *other == line);
         if self.peers.get(&node).is_some_and(|peer| !owed(peer)) {
@@ -661,7 +663,7 @@
     }
 
     /// Keeps a line until there is a connection to the node.
-    fn keep(&mut self, now: Instant, node: Node, line: Bytes) {
+    fn keep(&mut self, now: Instant, node: NodeId, line: Bytes) {
         let Some(peer) = self.peers.get_mut(&node) else { return };
         if peer.pending.len() < self.bounds.owed {
             peer.pending.push_back((now, line));
@@ -674,7 +676,7 @@
     fn post(
         &mut self,
         now: Instant,
-        node: Node,
+        node: NodeId,
         verb: Verb,
         tag: Tag,
         opts: &[(&str, &str)],
@@ -694,13 +696,13 @@
     }
 
     pub(crate) fn look_at_peers(&mut self, now: Instant) {
-        let nodes: Vec<Node> = self.peers.keys().copied().collect();
+        let nodes: Vec<NodeId> = self.peers.keys().copied().collect();
         for node in nodes {
             self.look_at(now, node);
         }
     }
 
-    fn look_at(&mut self, now: Instant, node: Node) {
+    fn look_at(&mut self, now: Instant, node: NodeId) {
         let Some(peer) = self.peers.get_mut(&node) else { return };
         let after = |at: Instant, secs: f64| now - at > Span::from_secs(secs);
         if peer.address.is_none() && peer.listed {
@@ -755,10 +757,10 @@
     for (name, value) in text.split(';').filter_map(|pair| pair.split_once(':')) {
         let value = figure(value);
         match ashglade_site::gauge(name) {
-            Gauge::Link => load.link = value,
-            Gauge::Uplink => load.uplink = value,
-            Gauge::Streams => load.streams = value,
-            Gauge::Other => {}
+            LoadMetric::Link => load.link = value,
+            LoadMetric::Uplink => load.uplink = value,
+            LoadMetric::Streams => load.streams = value,
+            LoadMetric::Other => {}
         }
     }
     load
--- a/crates/platform/src/same_tests.rs
+++ b/crates/platform/src/same_tests.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use ashglade::ids::{Cell, Group, Node, Rung, Sess, SetupNo, Ticket, Title};
-use ashglade::interface::{Ending, Viewing, Writer};
+use ashglade::ids::{CellId, GroupId, NodeId, Rung, SessionId, SetupNumber, TimerId, TitleId};
+use ashglade::interface::{AttemptOutcome, DecisionSink, SessionRequest};
 use ashglade::policy::{Director, Round};
 use ashglade::time::{Instant, Span};
 use expect_test::expect;
@@ -20,43 +20,43 @@
 /// Writes decisions in the words that the stage shows, and keeps what is due.
 struct Straight {
     now: Instant,
-    names: BTreeMap<Node, &'static str>,
-    plays: Vec<Sess>,
-    rungs: BTreeMap<Sess, Rung>,
+    names: BTreeMap<NodeId, &'static str>,
+    plays: Vec<SessionId>,
+    rungs: BTreeMap<SessionId, Rung>,
     wakes: Vec<Instant>,
     told: String,
 }
 
-impl Writer for Straight {
-    fn setup(&mut self, sess: Sess, node: Node, until: Instant) {
+impl DecisionSink for Straight {
+    fn send_setup(&mut self, sess: SessionId, node: NodeId, until: Instant) {
         // A rung is told when it changes; a SETUP carries it each time.
         let rung = self.rungs.get(&sess).map_or(0, |rung| rung.0);
         let _ = writeln!(self.told, "{} starts at rung {rung}", sess.0);
         let _ = writeln!(self.told, "{} at {}, {} ms", sess.0, self.names[&node], (until - self.now).as_ms());
     }
-    fn rung(&mut self, sess: Sess, rung: Rung) {
+    fn set_rung(&mut self, sess: SessionId, rung: Rung) {
         self.rungs.insert(sess, rung);
         if self.plays.contains(&sess) {
             let _ = writeln!(self.told, "{} plays at rung {}", sess.0, rung.0);
         }
     }
-    fn busy(&mut self, sess: Sess, _: Option<Span>) {
+    fn reply_busy(&mut self, sess: SessionId, _: Option<Span>) {
         let _ = writeln!(self.told, "{} busy", sess.0);
     }
-    fn tear_down(&mut self, sess: Sess) {
+    fn tear_down(&mut self, sess: SessionId) {
         let _ = writeln!(self.told, "{} torn down", sess.0);
     }
-    fn cancel(&mut self, _: Sess, _: SetupNo) {}
-    fn probe(&mut self, _: Node) {}
-    fn wake(&mut self, _: Ticket, after: Span) {
+    fn cancel_setup(&mut self, _: SessionId, _: SetupNumber) {}
+    fn probe_node(&mut self, _: NodeId) {}
+    fn set_timer(&mut self, _: TimerId, after: Span) {
         self.wakes.push(self.now + after);
     }
-    fn follow_list(&mut self, _: bool) {}
+    fn watch_node_list(&mut self, _: bool) {}
 }
 
 impl Straight {
     fn tell(&mut self, director: &mut Director, news: impl FnOnce(&mut Round)) {
-        director.round(self.now, news, self);
+        director.run_round(self.now, news, self);
     }
 
     fn wait(&mut self, director: &mut Director, ms: f64) {
@@ -64,7 +64,7 @@
         while let Some(due) = self.wakes.iter().copied().min().filter(|&due| due <= until) {
             self.wakes.retain(|&at| at != due);
             self.now = due;
-            self.tell(director, |round| round.woke(Ticket(0)));
+            self.tell(director, |round| round.timer_fired(TimerId(0)));
         }
         self.now = until;
     }
@@ -118,45 +118,49 @@
     let mut out = Straight {
         now,
         names,
-        plays: vec![Sess(0xa0)],
+        plays: vec![SessionId(0xa0)],
         rungs: BTreeMap::new(),
         wakes: Vec::new(),
         told: String::new(),
     };
-    let mut director = Director::start(&config.site.headend, now);
-    let want = |patience: f64| Viewing {
-        group: Group(0),
-        title: Title(0x7f3a),
-        top: Rung(2),
-        home: Cell(0),
-        copies: 3,
-        patience: Span::from_ms(patience),
+    let mut director = Director::new(&config.site.headend, now);
+    let want = |patience: f64| SessionRequest {
+        group: GroupId(0),
+        title: TitleId(0x7f3a),
+        top_rung: Rung(2),
+        first_cell: CellId(0),
+        cell_count: 3,
+        setup_timeout: Span::from_ms(patience),
     };
     out.tell(&mut director, |round| {
-        round.list_whole();
+        round.begin_list_snapshot();
         for news in config.known.clone().after(0) {
             news.news(&config.site.names).entries.iter().for_each(|e| round.node_ready(e.node, e.place));
         }
-        round.list_done();
-        round.under_way(Sess(0xa0), want(0.0), a);
+        round.finish_list();
+        round.session_handed_over(SessionId(0xa0), want(0.0), a);
     });
     out.wait(&mut director, 1.0);
-    out.tell(&mut director, |round| round.plays_at(Sess(0xa0), Rung(0)));
-    out.tell(&mut director, |round| round.asked(Sess(1), want(LEFT)));
-    out.plays.push(Sess(1));
-    out.tell(&mut director, |round| round.started(Sess(1), SetupNo(0), c));
+    out.tell(&mut director, |round| round.session_rung_reported(SessionId(0xa0), Rung(0)));
+    out.tell(&mut director, |round| round.session_requested(SessionId(1), want(LEFT)));
+    out.plays.push(SessionId(1));
+    out.tell(&mut director, |round| round.session_started(SessionId(1), SetupNumber(0), c));
     out.wait(&mut director, 100.0);
-    out.tell(&mut director, |round| round.asked(Sess(2), want(LEFT)));
+    out.tell(&mut director, |round| round.session_requested(SessionId(2), want(LEFT)));
     out.tell(&mut director, |round| {
-        round.link_asked(a, 0.9);
-        round.ended(Sess(2), SetupNo(0), a, Ending::Full, false);
+        round.link_demand_reported(a, 0.9);
+        round.attempt_ended(SessionId(2), SetupNumber(0), a, AttemptOutcome::Full, false);
+    });
+    out.tell(&mut director, |round| {
+        round.attempt_ended(SessionId(2), SetupNumber(1), b, AttemptOutcome::Fault, false)
+    });
+    out.tell(&mut director, |round| {
+        round.attempt_ended(SessionId(2), SetupNumber(2), c, AttemptOutcome::Full, false)
     });
-    out.tell(&mut director, |round| round.ended(Sess(2), SetupNo(1), b, Ending::Fault, false));
-    out.tell(&mut director, |round| round.ended(Sess(2), SetupNo(2), c, Ending::Full, false));
     out.wait(&mut director, 1000.0);
-    out.tell(&mut director, |round| round.delivered(c, 0.6));
+    out.tell(&mut director, |round| round.delivery_reported(c, 0.6));
     out.wait(&mut director, 500.0);
-    out.tell(&mut director, |round| round.asked(Sess(3), want(LEFT)));
+    out.tell(&mut director, |round| round.session_requested(SessionId(3), want(LEFT)));
 
     assert_eq!(on_sockets, out.told);
     expect![[r#"
--- a/crates/platform/src/tests.rs
+++ b/crates/platform/src/tests.rs
@@ -532,7 +532,7 @@
     })
     .collect();
     expect![[r#"
-        Title(32570) of clip
+        TitleId(32570) of clip
         class: "film" is unknown
         tenant: "nobody" is unknown
         left: "-3" is not up to 3000 ms
--- a/crates/settings/src/boxes.rs
+++ b/crates/settings/src/boxes.rs
@@ -1,7 +1,7 @@
 //! The box list: checked against the headend's names, and written by programs that keep one.
 
-use ashglade::ids::{Cell, Model, Zone};
-use ashglade::interface::Place;
+use ashglade::ids::{CellId, ModelId, ZoneId};
+use ashglade::interface::NodeInfo;
 use ashglade::time::Instant;
 use ashglade_discovery::watch::checksum;
 use ashglade_discovery::{Entry, List, Standing};
@@ -48,10 +48,10 @@
         let zone = named(&at, &field("zone"), &node.zone)?;
         let model = named(&at, &field("model"), &node.model)?;
         let cell = node.cell.map(f64::from);
-        let place = Place {
-            zone: Zone(at.one_of(&field("zone"), &zone, &names.zones)? as u8),
-            model: Model(at.one_of(&field("model"), &model, &names.models)? as u8),
-            cell: Cell(at.within(&field("cell"), cell, 0.0, f64::from(names.cells) - 1.0)? as u16),
+        let place = NodeInfo {
+            zone: ZoneId(at.one_of(&field("zone"), &zone, &names.zones)? as u8),
+            model: ModelId(at.one_of(&field("model"), &model, &names.models)? as u8),
+            cell: CellId(at.within(&field("cell"), cell, 0.0, f64::from(names.cells) - 1.0)? as u16),
             weight: at.within(&field("weight"), node.weight, 1e-6, 1e9)?,
             started: node.started_ms.filter(|&ms| ms > 0).map(|ms| Instant::from_ms(ms as f64)),
         };
--- a/crates/settings/src/headend.rs
+++ b/crates/settings/src/headend.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use ashglade::ids::{Cell, Group, Rung, Zone};
-use ashglade::interface::{self, Gauge, Headend, Ration, Reach, ServiceGroup};
+use ashglade::ids::{CellId, GroupId, Rung, ZoneId};
+use ashglade::interface::{self, DirectorConfig, LoadMetric, RetryBudget, RetryScope, ServiceGroup};
 use ashglade::time::Span;
 
 use crate::Names;
@@ -16,9 +16,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Title {
     pub id: u64,
-    pub home: Cell,
+    pub home: CellId,
     pub copies: u16,
-    pub group: Option<Group>,
+    pub group: Option<GroupId>,
     /// 1 for video alone, 2 with audio.
     pub tracks: u8,
 }
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug)]
 pub struct Front {
     pub listen: SocketAddr,
-    pub default_group: Group,
+    pub default_group: GroupId,
     pub most_connections: usize,
     pub session_timeout: Duration,
     pub write_timeout: Duration,
@@ -124,7 +124,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Settings {
-    pub headend: Headend,
+    pub headend: DirectorConfig,
     pub names: Names,
     pub group_names: Vec<String>,
     pub setup_timeouts: Vec<Span>,
@@ -156,9 +156,9 @@
 
     /// The service group of a viewer: that of the URL, else the title's, else the default one. One that the URL
     /// names and that does not exist is an error of the viewer's.
-    pub fn group_of(&self, named: Option<&str>, title: &Title) -> Option<Group> {
+    pub fn group_of(&self, named: Option<&str>, title: &Title) -> Option<GroupId> {
         match named {
-            Some(name) => self.group_names.iter().position(|known| known == name).map(Group),
+            Some(name) => self.group_names.iter().position(|known| known == name).map(GroupId),
             None => Some(title.group.unwrap_or(self.front.default_group)),
         }
     }
@@ -238,11 +238,11 @@
         let copies =
             at.within(&field("copies"), Some(title.copies.map_or(cells, f64::from)), 1.0, cells)? as u16;
         let group = match &title.group {
-            Some(group) => Some(Group(at.one_of(&field("group"), group, &group_names)?)),
+            Some(group) => Some(GroupId(at.one_of(&field("group"), group, &group_names)?)),
             None => None,
         };
         let tracks = at.within(&field("tracks"), Some(f64::from(title.tracks.unwrap_or(1))), 1.0, 2.0)? as u8;
-        let held = Title { id: i as u64, home: Cell(home as u16), copies, group, tracks };
+        let held = Title { id: i as u64, home: CellId(home as u16), copies, group, tracks };
         if titles.insert(name.clone(), held).is_some() {
             return Err(at.trouble(&field("name"), format!("{name:?} is there twice")));
         }
@@ -256,10 +256,10 @@
         None => None,
     };
     let ration = match &limits.ration {
-        Some(r) => Some(Ration {
-            free: at.within("limits.ration.free", r.free, 0.0, 1e9)?,
-            per_session: at.within("limits.ration.per_session", r.per_session, 0.0, 100.0)?,
-            span: ms("limits.ration.span_ms", r.span_ms, 1.0)?,
+        Some(r) => Some(RetryBudget {
+            base_retries: at.within("limits.ration.free", r.free, 0.0, 1e9)?,
+            retries_per_session: at.within("limits.ration.per_session", r.per_session, 0.0, 100.0)?,
+            window: ms("limits.ration.span_ms", r.span_ms, 1.0)?,
         }),
         None => None,
     };
@@ -269,7 +269,7 @@
     let directors = at.within("director.directors", director.directors.map(f64::from), 1.0, 1e5)?;
     let number = at.within("director.number", director.number.map(f64::from), 0.0, directors - 1.0)?;
     let zone = named(&at, "director.zone", &director.zone)?;
-    let zone = Zone(at.one_of("director.zone", &zone, &zones)? as u8);
+    let zone = ZoneId(at.one_of("director.zone", &zone, &zones)? as u8);
     let probe_timeout = ms("reports.probe_timeout_ms", reports.probe_timeout_ms, 1.0)?;
     let may_probe = reports.may_probe.unwrap_or(false);
     let probe_price = match (may_probe, reports.probe_price) {
@@ -277,37 +277,42 @@
         (true, price) => at.within("reports.probe_price", price, 1e-9, 1.0)?,
     };
 
-    let headend = Headend {
+    let headend = DirectorConfig {
         seed: at.need("director.seed", director.seed)?,
         zone,
-        me: number as usize,
-        directors: directors as usize,
+        director_index: number as usize,
+        director_count: directors as usize,
         groups,
         ladder,
-        places,
-        cells: cells as u16,
-        racks: racks as u16,
-        link_unit: at.within("links.unit_kb_per_s", links.unit_kb_per_s, 1e-3, 1e12)?,
-        uplink: at.within("links.uplink_kb_per_s", Some(links.uplink_kb_per_s.unwrap_or(0.0)), 0.0, 1e12)?,
-        join: at.within("links.join", Some(links.join.unwrap_or(1.0)), 0.0, 1.0)?,
+        max_streams: places,
+        cell_count: cells as u16,
+        rack_count: racks as u16,
+        link_kb_per_s_per_weight: at.within("links.unit_kb_per_s", links.unit_kb_per_s, 1e-3, 1e12)?,
+        uplink_kb_per_s: at.within(
+            "links.uplink_kb_per_s",
+            Some(links.uplink_kb_per_s.unwrap_or(0.0)),
+            0.0,
+            1e12,
+        )?,
+        live_join_fraction: at.within("links.join", Some(links.join.unwrap_or(1.0)), 0.0, 1.0)?,
         // A full node says so by its answer; of what its link is asked for then, the schema tells nothing.
-        guard: 0.0,
-        worst_group: 0.0,
-        notice: ms("reports.notice_ms", reports.notice_ms, 0.0)?,
+        full_link_demand: 0.0,
+        worst_group_weight: 0.0,
+        report_delay: ms("reports.notice_ms", reports.notice_ms, 0.0)?,
         // In the order in which the shell hands figures on.
-        gauges: vec![Gauge::Link, Gauge::Uplink, Gauge::Streams],
+        load_metrics: vec![LoadMetric::Link, LoadMetric::Uplink, LoadMetric::Streams],
         probe_only: reports.probe_only.unwrap_or(false),
         may_probe,
-        probe_price,
+        probe_cost: probe_price,
         may_cancel: true,
-        retry_after,
-        setups_per_session: tries as usize,
-        ration,
-        cold_from: at.within("cold.from", cold.from, 1e-3, 1.0)?,
-        warm_after: ms("cold.warm_after_ms", cold.warm_after_ms, 1.0)?,
-        fall_multiple: at.within("cold.fall_multiple", cold.fall_multiple, 0.1, 1e3)?,
-        fall_span: ms("cold.fall_span_ms", cold.fall_span_ms, 1.0)?,
-        ask_list_within: None,
+        max_retry_after: retry_after,
+        max_setups_per_session: tries as usize,
+        retry_budget: ration,
+        slow_start_initial_fraction: at.within("cold.from", cold.from, 1e-3, 1.0)?,
+        slow_start_duration: ms("cold.warm_after_ms", cold.warm_after_ms, 1.0)?,
+        overload_multiple: at.within("cold.fall_multiple", cold.fall_multiple, 0.1, 1e3)?,
+        overload_window: ms("cold.fall_span_ms", cold.fall_span_ms, 1.0)?,
+        node_list_max_age: None,
     };
     let front = front(&at, at.need("front", read.front.as_ref())?, &group_names)?;
     let door = match &read.door {
@@ -360,13 +365,13 @@
     let floor = rung("floor", g.floor, 0.0, 0.0)?;
     let top = rung("top", g.top, highest, floor)?;
     let care = match g.care() {
-        schema::Care::Safe => interface::Care::Safe,
-        schema::Care::Dedup => interface::Care::Dedup,
-        schema::Care::Fragile => interface::Care::Fragile,
+        schema::Care::Safe => interface::RetrySafety::Safe,
+        schema::Care::Dedup => interface::RetrySafety::Dedup,
+        schema::Care::Fragile => interface::RetrySafety::Fragile,
         schema::Care::Unset => return Err(at.trouble(&field("care"), "is left out: SAFE, DEDUP or FRAGILE")),
     };
     let window = match care {
-        interface::Care::Dedup => {
+        interface::RetrySafety::Dedup => {
             at.within(&field("repeat_window_ms"), g.repeat_window_ms.map(f64::from), 1.0, DAY)?
         }
         _ => f64::from(g.repeat_window_ms.unwrap_or(0)),
@@ -374,17 +379,17 @@
     let group = ServiceGroup {
         start_target: Span::from_ms(target),
         utility: at.within(&field("utility"), g.utility, 1e-6, 1e6)?,
-        care,
-        reach: match g.reach() {
-            schema::Reach::Anywhere => Reach::Anywhere,
-            schema::Reach::SameZone => Reach::SameZone,
-            schema::Reach::SameCell => Reach::SameCell,
+        retry_safety: care,
+        retry_scope: match g.reach() {
+            schema::Reach::Anywhere => RetryScope::Anywhere,
+            schema::Reach::SameZone => RetryScope::SameZone,
+            schema::Reach::SameCell => RetryScope::SameCell,
         },
-        repeat_window: Span::from_ms(window),
+        retry_window: Span::from_ms(window),
         live: g.live.unwrap_or(false),
-        scale: at.within(&field("rate_scale"), Some(g.rate_scale.unwrap_or(1.0)), 1e-3, 1e3)?,
-        floor: Rung(floor as u8),
-        top: Rung(top as u8),
+        rate_scale: at.within(&field("rate_scale"), Some(g.rate_scale.unwrap_or(1.0)), 1e-3, 1e3)?,
+        floor_rung: Rung(floor as u8),
+        top_rung: Rung(top as u8),
         seats: g.seats.unwrap_or(0) as usize,
     };
     Ok((group, Span::from_ms(timeout)))
@@ -535,7 +540,7 @@
     let default = named(at, "front.default_group", &f.default_group)?;
     Ok(Front {
         listen,
-        default_group: Group(at.one_of("front.default_group", &default, groups)?),
+        default_group: GroupId(at.one_of("front.default_group", &default, groups)?),
         most_connections: count("most_connections", f.most_connections, 1.0, 1e6)? as usize,
         session_timeout: Duration::from_secs(
             count("session_timeout_s", f.session_timeout_s, 1.0, 86_400.0)? as u64
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -31,8 +31,8 @@
     let h = &read.headend;
     let text = format!(
         "director {} of {} in zone {}; {:?}; {} holds cells {}+{}; margin {} ms",
-        h.me,
-        h.directors,
+        h.director_index,
+        h.director_count,
         h.zone.0,
         h.ladder,
         read.titles.keys().next().unwrap(),
--- a/crates/shared/src/lib.rs
+++ b/crates/shared/src/lib.rs
@@ -11,7 +11,7 @@
 
 use std::hash::Hasher;
 
-use ashglade::interface::Ending;
+use ashglade::interface::AttemptOutcome;
 use ashglade::time::Span;
 use siphasher::sip::SipHasher13;
 
@@ -108,12 +108,14 @@
 }
 
 /// What the end of an own SETUP says of its node, if anything. A node that turns a set-up away does its work.
-pub fn verdict(ended: Option<Ending>) -> Option<Verdict> {
+pub fn verdict(ended: Option<AttemptOutcome>) -> Option<Verdict> {
     match ended {
-        None | Some(Ending::Full) => Some(Verdict::Well),
-        Some(Ending::Silent) => Some(Verdict::Silent),
-        Some(Ending::Unreachable | Ending::Fault | Ending::Lost) => Some(Verdict::Failing),
-        Some(Ending::Unsent | Ending::Cancelled | Ending::Played) => None,
+        None | Some(AttemptOutcome::Full) => Some(Verdict::Well),
+        Some(AttemptOutcome::Silent) => Some(Verdict::Silent),
+        Some(AttemptOutcome::Unreachable | AttemptOutcome::Fault | AttemptOutcome::Lost) => {
+            Some(Verdict::Failing)
+        }
+        Some(AttemptOutcome::Unsent | AttemptOutcome::Cancelled | AttemptOutcome::Played) => None,
     }
 }
 
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -4,8 +4,8 @@
 
 mod bounds;
 
-use ashglade::ids::{Rung, Zone};
-use ashglade::interface::{Care, Gauge, Headend, Ration, Reach, ServiceGroup};
+use ashglade::ids::{Rung, ZoneId};
+use ashglade::interface::{DirectorConfig, LoadMetric, RetryBudget, RetrySafety, RetryScope, ServiceGroup};
 use ashglade::time::Span;
 use serde::Deserialize;
 
@@ -185,7 +185,7 @@
 /// All that is read from the settings.
 #[derive(Clone, Debug)]
 pub struct Site {
-    pub headend: Headend,
+    pub headend: DirectorConfig,
     pub names: Names,
     /// By service group: the longest time that a viewer waits for an answer, where told.
     pub setup_timeouts: Vec<Option<Span>>,
@@ -290,45 +290,45 @@
     Ok(())
 }
 
-fn headend(seed: u64, conf: &Conf) -> Headend {
+fn headend(seed: u64, conf: &Conf) -> DirectorConfig {
     let family = &conf.family_info;
     let rules = &conf.rules;
-    let ration = rules.resend_span.map(|span| Ration {
-        free: rules.extra_free.map_or(0.0, From0::get),
-        per_session: rules.extra_per_request.map_or(0.0, From0::get),
-        span: Span::from_ms(span.get()),
+    let ration = rules.resend_span.map(|span| RetryBudget {
+        base_retries: rules.extra_free.map_or(0.0, From0::get),
+        retries_per_session: rules.extra_per_request.map_or(0.0, From0::get),
+        window: Span::from_ms(span.get()),
     });
     let limits = &conf.limits;
     let rungs = family.ladder_kb.iter().zip(&family.level_worth);
-    Headend {
+    DirectorConfig {
         seed,
-        zone: Zone(conf.my_zone.get() as u8),
-        me: conf.my_number.get(),
-        directors: conf.balancers.get(),
+        zone: ZoneId(conf.my_zone.get() as u8),
+        director_index: conf.my_number.get(),
+        director_count: conf.balancers.get(),
         groups: conf.services.iter().enumerate().map(|(i, service)| group(i, service, family)).collect(),
         ladder: rungs.map(|(kb, worth)| (kb.get(), worth.get())).collect(),
-        places: family.kind_streams.iter().map(|n| n.get()).collect(),
-        cells: family.positions.get() as u16,
-        racks: family.groups.map_or(1, |racks| racks.get()) as u16,
-        link_unit: family.link_unit_kb.get(),
-        uplink: family.uplink_kb.get(),
-        join: family.join_adds.map_or(1.0, From0::get),
-        worst_group: conf.goal.worst_class.get(),
-        guard: family.guard.get(),
-        notice: Span::from_ms(family.see.get()),
-        gauges: conf.telemetry.fields.iter().map(|name| gauge(name)).collect(),
+        max_streams: family.kind_streams.iter().map(|n| n.get()).collect(),
+        cell_count: family.positions.get() as u16,
+        rack_count: family.groups.map_or(1, |racks| racks.get()) as u16,
+        link_kb_per_s_per_weight: family.link_unit_kb.get(),
+        uplink_kb_per_s: family.uplink_kb.get(),
+        live_join_fraction: family.join_adds.map_or(1.0, From0::get),
+        worst_group_weight: conf.goal.worst_class.get(),
+        full_link_demand: family.guard.get(),
+        report_delay: Span::from_ms(family.see.get()),
+        load_metrics: conf.telemetry.fields.iter().map(|name| gauge(name)).collect(),
         probe_only: conf.telemetry.via == Via::Pull,
         may_probe: limits.probing,
-        probe_price: conf.fees.probe.get(),
+        probe_cost: conf.fees.probe.get(),
         may_cancel: limits.cancelling,
-        retry_after: limits.retry_after.then(|| Span::from_ms(limits.max_retry_after.get())),
-        setups_per_session: limits.most_tries.get(),
-        ration,
-        cold_from: rules.start_capacity.get(),
-        warm_after: Span::from_ms(rules.warm_after.get()),
-        fall_multiple: rules.fall_multiple.get(),
-        fall_span: Span::from_ms(rules.fall.get()),
-        ask_list_within: (conf.discovery == Discovery::OnRequest)
+        max_retry_after: limits.retry_after.then(|| Span::from_ms(limits.max_retry_after.get())),
+        max_setups_per_session: limits.most_tries.get(),
+        retry_budget: ration,
+        slow_start_initial_fraction: rules.start_capacity.get(),
+        slow_start_duration: Span::from_ms(rules.warm_after.get()),
+        overload_multiple: rules.fall_multiple.get(),
+        overload_window: Span::from_ms(rules.fall.get()),
+        node_list_max_age: (conf.discovery == Discovery::OnRequest)
             .then(|| Span::from_ms(rules.ask_within.get())),
     }
 }
@@ -341,31 +341,31 @@
     ServiceGroup {
         start_target: Span::from_ms(service.aim.get()),
         utility: service.credit.get(),
-        care: match service.effect {
-            Effect::Retryable => Care::Safe,
-            Effect::Dedup => Care::Dedup,
-            Effect::Fragile => Care::Fragile,
+        retry_safety: match service.effect {
+            Effect::Retryable => RetrySafety::Safe,
+            Effect::Dedup => RetrySafety::Dedup,
+            Effect::Fragile => RetrySafety::Fragile,
         },
-        reach: match service.group {
-            Group::All => Reach::Anywhere,
-            Group::Zone => Reach::SameZone,
-            Group::Cell => Reach::SameCell,
+        retry_scope: match service.group {
+            Group::All => RetryScope::Anywhere,
+            Group::Zone => RetryScope::SameZone,
+            Group::Cell => RetryScope::SameCell,
         },
-        repeat_window: Span::from_ms(service.repeat_window.get()),
+        retry_window: Span::from_ms(service.repeat_window.get()),
         live: family.class_live.get(i).copied().unwrap_or(false),
-        scale: family.class_scale.get(i).map_or(1.0, |scale| scale.get()),
-        floor: rung(&family.floor_by_class, 0),
-        top: rung(&family.highest_rung, highest),
+        rate_scale: family.class_scale.get(i).map_or(1.0, |scale| scale.get()),
+        floor_rung: rung(&family.floor_by_class, 0),
+        top_rung: rung(&family.highest_rung, highest),
         seats: family.class_seats.get(i).map_or(0, |seats| seats.get()),
     }
 }
 
 /// What a figure of a load report tells, by its name.
-pub fn gauge(name: &str) -> Gauge {
+pub fn gauge(name: &str) -> LoadMetric {
     match name {
-        "inflight" => Gauge::Streams,
-        "util" | "x0" => Gauge::Link,
-        "x1" => Gauge::Uplink,
-        _ => Gauge::Other,
+        "inflight" => LoadMetric::Streams,
+        "util" | "x0" => LoadMetric::Link,
+        "x1" => LoadMetric::Uplink,
+        _ => LoadMetric::Other,
     }
 }
--- a/crates/site/tests/refused.rs
+++ b/crates/site/tests/refused.rs
@@ -14,8 +14,8 @@
 #[test]
 fn what_cannot_be_or_is_not_known_is_refused_with_its_field() {
     let site = ashglade_site::read(7, SETTINGS.as_bytes()).unwrap();
-    let tops: Vec<u8> = site.headend.groups.iter().map(|group| group.top.0).collect();
-    let mut shown = format!("as it stands: tops {tops:?}, reports {:?}\n", site.headend.gauges);
+    let tops: Vec<u8> = site.headend.groups.iter().map(|group| group.top_rung.0).collect();
+    let mut shown = format!("as it stands: tops {tops:?}, reports {:?}\n", site.headend.load_metrics);
     let edits = [
         ("\"balancers\": 2.0", "\"balancers\": 0"),
         ("\"balancers\": 2.0", "\"balancers\": 2.5"),
--- a/crates/wirehost/src/frames.rs
+++ b/crates/wirehost/src/frames.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::io::{ErrorKind, Read};
 
-use ashglade::ids::Node;
+use ashglade::ids::NodeId;
 
 /// Bytes of a batch's header: index, clock, length of the frame, count of records.
 pub const HEADER: usize = 20;
@@ -129,10 +129,10 @@
         self.array().map(f64::from_le_bytes)
     }
 
-    pub fn node(&mut self) -> Result<Node, Trouble> {
+    pub fn node(&mut self) -> Result<NodeId, Trouble> {
         let mut wide = [0; 8];
         wide[..6].copy_from_slice(self.take(6)?);
-        Ok(Node(u64::from_le_bytes(wide)))
+        Ok(NodeId(u64::from_le_bytes(wide)))
     }
 
     /// A count of bytes, then as many bytes.
@@ -160,7 +160,7 @@
         self.put(&(text.len() as u16).to_le_bytes()).put(text)
     }
 
-    pub fn node(&mut self, node: Node) -> &mut Reply {
+    pub fn node(&mut self, node: NodeId) -> &mut Reply {
         self.put(&node.0.to_le_bytes()[..6])
     }
 }
