--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -3,8 +3,10 @@
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-use ashglade::ids::{Cell, Group, Model, Node, Rung, Sess, SetupNo, Ticket, Title, Zone};
-use ashglade::interface::{Ending, Place, Viewing, Writer};
+use ashglade::ids::{
+    CellId, GroupId, ModelId, NodeId, Rung, SessionId, SetupNumber, TimerId, TitleId, ZoneId,
+};
+use ashglade::interface::{AttemptOutcome, DecisionSink, NodeInfo, SessionRequest};
 use ashglade::policy::{Director, Round};
 use ashglade::time::{Instant, Span};
 
@@ -63,9 +65,9 @@
                     let from = fields.at() as u64;
                     let site =
                         ashglade_site::read(seed, fields.text()?).map_err(|what| Trouble::new(from, what))?;
-                    self.directors.insert(instance, Director::start(&site.headend, now));
+                    self.directors.insert(instance, Director::new(&site.headend, now));
                     self.sharing.remove(&instance);
-                    if self.shares && site.may_tell && site.headend.directors > 1 {
+                    if self.shares && site.may_tell && site.headend.director_count > 1 {
                         self.sharing.insert(instance, Share::start(&site.headend, now));
                     }
                 }
@@ -88,11 +90,11 @@
                     }
                     let told = |round: &mut Round| {
                         if let Some(nodes) = share.as_mut().and_then(|share| share.news()) {
-                            round.doubted(&nodes);
+                            round.set_suspected_nodes(&nodes);
                         }
                         news.iter().try_for_each(|n| tell(round, frame, n))
                     };
-                    match catch_unwind(AssertUnwindSafe(|| director.round(now, told, &mut answers))) {
+                    match catch_unwind(AssertUnwindSafe(|| director.run_round(now, told, &mut answers))) {
                         Ok(told) => told?,
                         Err(cause) => {
                             let cause = cause.downcast_ref::<&str>().copied();
@@ -100,7 +102,7 @@
                         }
                     }
                     if let Some(share) = self.sharing.get_mut(&instance) {
-                        share.say(now, |to, message| answers.tell(Some(to), message));
+                        share.say(now, |to, message| answers.send_message(Some(to), message));
                     }
                 }
             }
@@ -209,13 +211,13 @@
             share.take(author, f.take(length.into())?, now);
         }
         4 => {
-            let (sess, _, node) = (Sess(f.u64()?), f.u16()?, f.node()?);
+            let (sess, _, node) = (SessionId(f.u64()?), f.u16()?, f.node()?);
             if let Some(ending) = ending(f.u16()?) {
                 share.ended(sess, node, ending, now);
             }
         }
         6 => {
-            let (sess, _) = (Sess(f.u64()?), f.u16()?);
+            let (sess, _) = (SessionId(f.u64()?), f.u16()?);
             f.f64()?;
             share.started(sess, f.node()?, now);
         }
@@ -234,76 +236,76 @@
             let at = f.at() as u64;
             let kind = f.u8()?;
             if kind == 2 {
-                round.list_failed();
+                round.list_watch_failed();
                 return Ok(());
             }
             let Some(pool) = &news.pool else {
                 return Err(Trouble::new(news.at as u64, "a list that was never declared"));
             };
             match kind {
-                0 | 4 => round.list_whole(),
-                3 => round.list_changes(),
+                0 | 4 => round.begin_list_snapshot(),
+                3 => round.begin_list_update(),
                 other => return Err(Trouble::new(at, format!("unknown kind of list {other}"))),
             }
             let mut entries = Fields::new(pool, 0);
             while !entries.is_empty() {
                 entry(round, &mut entries).map_err(|what| Trouble::new(news.at as u64, what))?;
             }
-            round.list_done();
+            round.finish_list();
         }
         4 => {
-            let (sess, setup, node) = (Sess(f.u64()?), SetupNo(f.u16()?), f.node()?);
+            let (sess, setup, node) = (SessionId(f.u64()?), SetupNumber(f.u16()?), f.node()?);
             let at = f.at() as u64;
             let ending = ending(f.u16()?).ok_or_else(|| Trouble::new(at, "unknown outcome"))?;
             f.f64()?;
             let complete = f.u8()? != 0;
-            round.reported(node, &gauges(&mut f)?);
-            round.ended(sess, setup, node, ending, complete);
+            round.load_reported(node, &gauges(&mut f)?);
+            round.attempt_ended(sess, setup, node, ending, complete);
         }
         6 => {
-            let (sess, setup) = (Sess(f.u64()?), SetupNo(f.u16()?));
+            let (sess, setup) = (SessionId(f.u64()?), SetupNumber(f.u16()?));
             f.f64()?;
             let node = f.node()?;
-            round.started(sess, setup, node);
+            round.session_started(sess, setup, node);
         }
-        7 => round.woke(Ticket(f.u32()?)),
-        9 => round.left(Sess(f.u64()?)),
+        7 => round.timer_fired(TimerId(f.u32()?)),
+        9 => round.viewer_left(SessionId(f.u64()?)),
         10 => {
-            let (sess, _, node) = (Sess(f.u64()?), f.u16()?, f.node()?);
+            let (sess, _, node) = (SessionId(f.u64()?), f.u16()?, f.node()?);
             let (what, level) = (f.u8()?, f64::from(f.f32()?));
             match what {
-                1 => round.delivered(node, level),
-                2 => round.plays_at(sess, Rung(level as u8)),
-                3 => round.link_asked(node, level),
-                4 => round.uplink_asked(node, level),
+                1 => round.delivery_reported(node, level),
+                2 => round.session_rung_reported(sess, Rung(level as u8)),
+                3 => round.link_demand_reported(node, level),
+                4 => round.uplink_demand_reported(node, level),
                 _ => {}
             }
         }
         11 => {
-            let (sess, patience) = (Sess(f.u64()?), Span::from_ms(f.f64()?));
+            let (sess, patience) = (SessionId(f.u64()?), Span::from_ms(f.f64()?));
             f.u8()?;
             let (top, home) = (f.f32()?, f.f32()?);
             f.take(16)?;
-            let (group, _tenant, title) = (Group(f.u8()?.into()), f.u32()?, Title(f.u64()?));
+            let (group, _tenant, title) = (GroupId(f.u8()?.into()), f.u32()?, TitleId(f.u64()?));
             let copies = f.f32()?;
-            round.asked(sess, viewing(group, title, patience, [top, home, copies]));
+            round.session_requested(sess, viewing(group, title, patience, [top, home, copies]));
         }
         12 => {
             let answered = f.u16()? == 0;
             f.f64()?;
             let node = f.node()?;
-            round.probed(node, answered);
-            round.reported(node, &gauges(&mut f)?);
+            round.probe_finished(node, answered);
+            round.load_reported(node, &gauges(&mut f)?);
         }
         13 => {
-            let (sess, group, _tenant) = (Sess(f.u64()?), Group(f.u8()?.into()), f.u32()?);
+            let (sess, group, _tenant) = (SessionId(f.u64()?), GroupId(f.u8()?.into()), f.u32()?);
             f.u64()?;
-            let (title, patience) = (Title(f.u64()?), Span::from_ms(f.f64()?));
+            let (title, patience) = (TitleId(f.u64()?), Span::from_ms(f.f64()?));
             f.f64()?;
             let (home, copies, top) = (f.f32()?, f.f32()?, f.f32()?);
             f.u8()?;
             let node = f.node()?;
-            round.under_way(sess, viewing(group, title, patience, [top, home, copies]), node);
+            round.session_handed_over(sess, viewing(group, title, patience, [top, home, copies]), node);
         }
         other => {
             return Err(Trouble::new(news.at as u64, format!("unknown event code {other}")));
@@ -312,23 +314,30 @@
     Ok(())
 }
 
-fn viewing(group: Group, title: Title, patience: Span, [top, home, copies]: [f32; 3]) -> Viewing {
-    let (top, home, copies) = (Rung(top as u8), Cell(home as u16), copies as u16);
-    Viewing { group, title, top, home, copies, patience }
+fn viewing(group: GroupId, title: TitleId, patience: Span, [top, home, copies]: [f32; 3]) -> SessionRequest {
+    let (top, home, copies) = (Rung(top as u8), CellId(home as u16), copies as u16);
+    SessionRequest {
+        group,
+        title,
+        top_rung: top,
+        first_cell: home,
+        cell_count: copies,
+        setup_timeout: patience,
+    }
 }
 
 fn entry(round: &mut Round, f: &mut Fields) -> Result<(), String> {
     let short = |_| "a list entry is cut short".to_string();
     let node = f.node().map_err(short)?;
-    let (zone, model) = (Zone(f.u8().map_err(short)?), Model(f.u8().map_err(short)?));
-    let cell = Cell(f.u16().map_err(short)?);
+    let (zone, model) = (ZoneId(f.u8().map_err(short)?), ModelId(f.u8().map_err(short)?));
+    let cell = CellId(f.u16().map_err(short)?);
     let health = f.u8().map_err(short)?;
     let weight = f64::from(f.f32().map_err(short)?);
     let born = f.f64().map_err(short)?;
     let started = (born > 0.0).then(|| Instant::from_ms(born));
     match health {
-        0 => round.node_ready(node, Place { zone, model, cell, weight, started }),
-        1 | 2 => round.node_leaves(node),
+        0 => round.node_ready(node, NodeInfo { zone, model, cell, weight, started }),
+        1 | 2 => round.node_draining(node),
         other => return Err(format!("unknown health {other} in a list entry")),
     }
     Ok(())
@@ -339,16 +348,16 @@
     (0..count).map(|_| f.f32().map(f64::from)).collect()
 }
 
-fn ending(code: u16) -> Option<Ending> {
+fn ending(code: u16) -> Option<AttemptOutcome> {
     Some(match code {
-        0 => Ending::Played,
-        5 => Ending::Fault,
-        11 => Ending::Full,
-        104 => Ending::Lost,
-        110 => Ending::Silent,
-        111 => Ending::Unreachable,
-        114 => Ending::Unsent,
-        125 => Ending::Cancelled,
+        0 => AttemptOutcome::Played,
+        5 => AttemptOutcome::Fault,
+        11 => AttemptOutcome::Full,
+        104 => AttemptOutcome::Lost,
+        110 => AttemptOutcome::Silent,
+        111 => AttemptOutcome::Unreachable,
+        114 => AttemptOutcome::Unsent,
+        125 => AttemptOutcome::Cancelled,
         _ => return None,
     })
 }
@@ -376,53 +385,53 @@
     }
 }
 
-impl Writer for Answers {
-    fn setup(&mut self, sess: Sess, node: Node, until: Instant) {
+impl DecisionSink for Answers {
+    fn send_setup(&mut self, sess: SessionId, node: NodeId, until: Instant) {
         self.record(65).put(&sess.0.to_le_bytes()).node(node).put(&until.as_ms().to_le_bytes());
     }
 
-    fn rung(&mut self, sess: Sess, rung: Rung) {
+    fn set_rung(&mut self, sess: SessionId, rung: Rung) {
         self.record(77).put(&sess.0.to_le_bytes()).put(&[rung.0]);
     }
 
-    fn busy(&mut self, sess: Sess, retry_after: Option<Span>) {
+    fn reply_busy(&mut self, sess: SessionId, retry_after: Option<Span>) {
         let wait = retry_after.map_or(0.0, Span::as_ms);
         self.record(66).put(&sess.0.to_le_bytes()).put(&wait.to_le_bytes());
     }
 
-    fn tear_down(&mut self, sess: Sess) {
+    fn tear_down(&mut self, sess: SessionId) {
         self.record(67).put(&sess.0.to_le_bytes());
     }
 
-    fn cancel(&mut self, sess: Sess, setup: SetupNo) {
+    fn cancel_setup(&mut self, sess: SessionId, setup: SetupNumber) {
         self.record(68).put(&sess.0.to_le_bytes()).put(&setup.0.to_le_bytes());
     }
 
-    fn probe(&mut self, node: Node) {
+    fn probe_node(&mut self, node: NodeId) {
         self.record(70).node(node);
     }
 
-    fn wake(&mut self, ticket: Ticket, after: Span) {
+    fn set_timer(&mut self, ticket: TimerId, after: Span) {
         self.record(69).put(&ticket.0.to_le_bytes()).put(&after.as_ms().to_le_bytes());
     }
 
-    fn follow_list(&mut self, on: bool) {
+    fn watch_node_list(&mut self, on: bool) {
         self.record(75).put(&[u8::from(on)]);
     }
 
-    fn fetch_list(&mut self) {
+    fn fetch_node_list(&mut self) {
         self.record(76);
     }
 
-    fn send_back(&mut self, sess: Sess) {
+    fn reconnect_viewer(&mut self, sess: SessionId) {
         self.record(78).put(&sess.0.to_le_bytes());
     }
 
-    fn close(&mut self, node: Node) {
+    fn close_idle_connections(&mut self, node: NodeId) {
         self.record(71).node(node);
     }
 
-    fn tell(&mut self, director: Option<u16>, message: &[u8]) {
+    fn send_message(&mut self, director: Option<u16>, message: &[u8]) {
         self.record(72).put(&director.unwrap_or(u16::MAX).to_le_bytes()).text(message, MOST_TOLD);
     }
 
--- a/crates/wirehost/src/share.rs
+++ b/crates/wirehost/src/share.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeSet, VecDeque};
 
-use ashglade::ids::{Node, Sess};
-use ashglade::interface::{Ending, Headend};
+use ashglade::ids::{NodeId, SessionId};
+use ashglade::interface::{AttemptOutcome, DirectorConfig};
 use ashglade::time::{Instant, Span};
 use ashglade_shared::spread::Message;
 use ashglade_shared::{Body, Member, Terms, Verdict, Word, verdict};
@@ -18,19 +18,19 @@
     terms: Terms,
     member: Member,
     /// Sessions that play: their end is none of a set-up.
-    started: BTreeSet<Sess>,
+    started: BTreeSet<SessionId>,
     out: VecDeque<Word>,
-    last: Vec<Node>,
-    news: Option<Vec<Node>>,
+    last: Vec<NodeId>,
+    news: Option<Vec<NodeId>>,
 }
 
 impl Share {
-    pub fn start(headend: &Headend, now: Instant) -> Share {
+    pub fn start(headend: &DirectorConfig, now: Instant) -> Share {
         let secs = Span::from_secs;
         let terms = Terms {
-            me: headend.me,
+            me: headend.director_index,
             // The settings tell nobody's zone but our own.
-            zones: vec![0; headend.directors],
+            zones: vec![0; headend.director_count],
             council: 1,
             lease: secs(FADE),
             drift: 0.0,
@@ -45,12 +45,12 @@
         Share { terms, member, started: BTreeSet::new(), out: VecDeque::new(), last: Vec::new(), news: None }
     }
 
-    pub fn started(&mut self, sess: Sess, node: Node, now: Instant) {
+    pub fn started(&mut self, sess: SessionId, node: NodeId, now: Instant) {
         self.started.insert(sess);
         self.member.saw(node.0, Verdict::Well, now);
     }
 
-    pub fn ended(&mut self, sess: Sess, node: Node, how: Ending, now: Instant) {
+    pub fn ended(&mut self, sess: SessionId, node: NodeId, how: AttemptOutcome, now: Instant) {
         if !self.started.remove(&sess)
             && let Some(verdict) = verdict(Some(how))
         {
@@ -68,7 +68,7 @@
     }
 
     pub fn look(&mut self, now: Instant) {
-        let last: Vec<Node> = self.member.view(now, Span::ZERO).left.into_keys().map(Node).collect();
+        let last: Vec<NodeId> = self.member.view(now, Span::ZERO).left.into_keys().map(NodeId).collect();
         if last != self.last {
             self.last.clone_from(&last);
             self.news = Some(last);
@@ -76,7 +76,7 @@
     }
 
     /// Nodes that are tried last, if that changed.
-    pub fn news(&mut self) -> Option<Vec<Node>> {
+    pub fn news(&mut self) -> Option<Vec<NodeId>> {
         self.news.take()
     }
 
--- a/crates/wirehost/src/tests.rs
+++ b/crates/wirehost/src/tests.rs
@@ -1,7 +1,7 @@
 //! Frames by hand, in and out.
 
-use ashglade::ids::{Node, Sess};
-use ashglade::interface::Writer;
+use ashglade::ids::{NodeId, SessionId};
+use ashglade::interface::DecisionSink;
 use expect_test::{Expect, expect};
 
 const SETTINGS: &str = r#"{"balancers": 1, "myZone": 0, "unheard": [1, {"of": 2}],
@@ -111,12 +111,12 @@
 #[test]
 fn actions_that_no_decision_uses_yet_are_written_as_the_wire_has_them() {
     let mut answers = crate::host::Answers::default();
-    answers.follow_list(false);
-    answers.fetch_list();
-    answers.send_back(Sess(77));
-    answers.close(Node(0x50_0302_010a));
-    answers.tell(Some(2), b"hi");
-    answers.tell(None, &[7; 300]);
+    answers.watch_node_list(false);
+    answers.fetch_node_list();
+    answers.reconnect_viewer(SessionId(77));
+    answers.close_idle_connections(NodeId(0x50_0302_010a));
+    answers.send_message(Some(2), b"hi");
+    answers.send_message(None, &[7; 300]);
     answers.log("two");
     answers.failed("x");
     let shown: String = answers.reply.bytes.iter().map(|byte| format!("{byte:02x}")).collect();
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -12,24 +12,24 @@
 
 ids! {
     /// One request for a session, and the session that comes of it.
-    Sess(u64);
+    SessionId(u64);
     /// A media node: address and port, opaque.
-    Node(u64);
+    NodeId(u64);
     /// What is watched.
-    Title(u64);
+    TitleId(u64);
     /// A service group, by its place in the headend's list.
-    Group(usize);
-    Zone(u8);
+    GroupId(usize);
+    ZoneId(u8);
     /// A kind of machine, by its place in the headend's list.
-    Model(u8);
+    ModelId(u8);
     /// Where a node stands among those that hold titles.
-    Cell(u16);
+    CellId(u16);
     /// A step of the ladder of rates, from 0.
     Rung(u8);
     /// The number of a SETUP within its session, from 0.
-    SetupNo(u16);
+    SetupNumber(u16);
     /// A wake-up that the director asked for.
-    Ticket(u32);
+    TimerId(u32);
 }
 
 /// An even draw from 0 to 1 that is the same at all directors.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -2,42 +2,42 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::ids::{Cell, Group, Model, Node, Rung, Sess, SetupNo, Ticket, Title, Zone};
+use crate::ids::{CellId, GroupId, ModelId, NodeId, Rung, SessionId, SetupNumber, TimerId, TitleId, ZoneId};
 use crate::time::{Instant, Span};
 
 /// Takes the decisions of a round, in the order in which they are made.
-pub trait Writer {
+pub trait DecisionSink {
     /// Asks a node to start the session; the SETUP is given up at `until`.
-    fn setup(&mut self, sess: Sess, node: Node, until: Instant);
+    fn send_setup(&mut self, sess: SessionId, node: NodeId, until: Instant);
     /// Sets the session's rung, before its SETUP or while it plays.
-    fn rung(&mut self, sess: Sess, rung: Rung);
+    fn set_rung(&mut self, sess: SessionId, rung: Rung);
     /// Busy reply: final, and harmless to ask again, where told so not before `retry_after`.
-    fn busy(&mut self, sess: Sess, retry_after: Option<Span>);
+    fn reply_busy(&mut self, sess: SessionId, retry_after: Option<Span>);
     /// Final answer that says nothing of whether a SETUP ran.
-    fn tear_down(&mut self, sess: Sess);
-    fn cancel(&mut self, sess: Sess, setup: SetupNo);
-    fn probe(&mut self, node: Node);
-    fn wake(&mut self, ticket: Ticket, after: Span);
+    fn tear_down(&mut self, sess: SessionId);
+    fn cancel_setup(&mut self, sess: SessionId, setup: SetupNumber);
+    fn probe_node(&mut self, node: NodeId);
+    fn set_timer(&mut self, ticket: TimerId, after: Span);
     /// Subscribes to changes of the list of media nodes, or no longer.
-    fn follow_list(&mut self, on: bool);
+    fn watch_node_list(&mut self, on: bool);
 
     // No decision asks for these yet; a writer that can't do one leaves it out.
 
     /// Asks for the whole list once.
-    fn fetch_list(&mut self) {}
+    fn fetch_node_list(&mut self) {}
     /// Ends a session that plays; its viewer comes back to this director after a short gap.
-    fn send_back(&mut self, _sess: Sess) {}
+    fn reconnect_viewer(&mut self, _sess: SessionId) {}
     /// Closes idle connections to a node.
-    fn close(&mut self, _node: Node) {}
+    fn close_idle_connections(&mut self, _node: NodeId) {}
     /// A short message to one director, by its number, or to all.
-    fn tell(&mut self, _director: Option<u16>, _message: &[u8]) {}
+    fn send_message(&mut self, _director: Option<u16>, _message: &[u8]) {}
     /// A line for the log.
     fn log(&mut self, _line: &str) {}
 }
 
 /// What a second SETUP may do once the first may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Care {
+pub enum RetrySafety {
     /// No harm at any node.
     Safe,
     /// No harm within the reach and the repeat window.
@@ -48,7 +48,7 @@
 
 /// How far from its first node a dedup session may be set up again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum RetryScope {
     Anywhere,
     SameZone,
     SameCell,
@@ -58,21 +58,21 @@
 pub struct ServiceGroup {
     pub start_target: Span,
     pub utility: f64,
-    pub care: Care,
-    pub reach: Reach,
-    pub repeat_window: Span,
+    pub retry_safety: RetrySafety,
+    pub retry_scope: RetryScope,
+    pub retry_window: Span,
     pub live: bool,
     /// Its rates over those of the ladder.
-    pub scale: f64,
-    pub floor: Rung,
-    pub top: Rung,
+    pub rate_scale: f64,
+    pub floor_rung: Rung,
+    pub top_rung: Rung,
     /// Sessions of one title that a director may hold; 0 for no cap.
     pub seats: usize,
 }
 
 /// A figure that a media node reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Gauge {
+pub enum LoadMetric {
     /// Streams that run or are set up.
     Streams,
     /// What is asked of the link over what it gives.
@@ -85,68 +85,68 @@
 
 /// The ration of SETUPs beyond a session's first.
 #[derive(Clone, Copy, Debug)]
-pub struct Ration {
-    pub free: f64,
-    pub per_session: f64,
-    pub span: Span,
+pub struct RetryBudget {
+    pub base_retries: f64,
+    pub retries_per_session: f64,
+    pub window: Span,
 }
 
 /// What is read when a director starts.
 #[derive(Clone, Debug)]
-pub struct Headend {
+pub struct DirectorConfig {
     pub seed: u64,
-    pub zone: Zone,
+    pub zone: ZoneId,
     /// Our number among the directors, from 0.
-    pub me: usize,
-    pub directors: usize,
+    pub director_index: usize,
+    pub director_count: usize,
     pub groups: Vec<ServiceGroup>,
     /// kB a second and what it earns, for each rung.
     pub ladder: Vec<(f64, f64)>,
     /// Streams at most, for each kind of machine.
-    pub places: Vec<f64>,
-    pub cells: u16,
-    pub racks: u16,
+    pub max_streams: Vec<f64>,
+    pub cell_count: u16,
+    pub rack_count: u16,
     /// kB a second for each unit of a node's weight.
-    pub link_unit: f64,
+    pub link_kb_per_s_per_weight: f64,
     /// kB a second of a rack's uplink, on average.
-    pub uplink: f64,
+    pub uplink_kb_per_s: f64,
     /// What a further viewer of a live stream adds, as a part of its rate.
-    pub join: f64,
+    pub live_join_fraction: f64,
     /// The part of the operators' goal that goes by the worst-served service group.
-    pub worst_group: f64,
+    pub worst_group_weight: f64,
     /// A node says that it is full while so many times its link is asked for; 0 where it never does for its link.
-    pub guard: f64,
+    pub full_link_demand: f64,
     /// How late delivered shares are told.
-    pub notice: Span,
-    pub gauges: Vec<Gauge>,
+    pub report_delay: Span,
+    pub load_metrics: Vec<LoadMetric>,
     /// Reports come only when probed for.
     pub probe_only: bool,
     pub may_probe: bool,
     /// What one probe a session costs, in parts of all utility.
-    pub probe_price: f64,
+    pub probe_cost: f64,
     pub may_cancel: bool,
     /// The longest time a viewer can be asked to stay away; none where it can't be told.
-    pub retry_after: Option<Span>,
-    pub setups_per_session: usize,
-    pub ration: Option<Ration>,
+    pub max_retry_after: Option<Span>,
+    pub max_setups_per_session: usize,
+    pub retry_budget: Option<RetryBudget>,
     /// A node that has just started begins at this part of its pace,
-    pub cold_from: f64,
+    pub slow_start_initial_fraction: f64,
     /// rising to all of it over this time.
-    pub warm_after: Span,
+    pub slow_start_duration: Span,
     /// It falls over at this multiple of its pace
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// for this long.
-    pub fall_span: Span,
+    pub overload_window: Span,
     /// Where the list must be asked for: how soon again at the latest.
-    pub ask_list_within: Option<Span>,
+    pub node_list_max_age: Option<Span>,
 }
 
 /// What the list tells of a media node.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Place {
-    pub zone: Zone,
-    pub model: Model,
-    pub cell: Cell,
+pub struct NodeInfo {
+    pub zone: ZoneId,
+    pub model: ModelId,
+    pub cell: CellId,
     pub weight: f64,
     /// When it last started; none if long ago.
     pub started: Option<Instant>,
@@ -154,21 +154,25 @@
 
 /// What a viewer wants.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Viewing {
-    pub group: Group,
-    pub title: Title,
+pub struct SessionRequest {
+    pub group: GroupId,
+    pub title: TitleId,
     /// The highest rung that the viewer can use.
-    pub top: Rung,
+    #[serde(rename = "top")]
+    pub top_rung: Rung,
     /// First of the cells in a row that hold the title, and how many.
-    pub home: Cell,
-    pub copies: u16,
+    #[serde(rename = "home")]
+    pub first_cell: CellId,
+    #[serde(rename = "copies")]
+    pub cell_count: u16,
     /// Until the setup timeout of this try.
-    pub patience: Span,
+    #[serde(rename = "patience")]
+    pub setup_timeout: Span,
 }
 
 /// How a SETUP, or the session that came of it, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ending {
+pub enum AttemptOutcome {
     Played,
     /// Turned away unseen.
     Full,
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,10 +1,13 @@
 //! All decisions of a director: which media node a session is set up at, at which rung, and when it is
-//! busy-replied. Call [`Director::start`] once with what is read at start, then [`Director::round`] once
+//! busy-replied. Call [`Director::new`] once with what is read at start, then [`Director::run_round`] once
 //! for each batch of news, with a closure that replays the news in order on the [`Round`]; decisions go
 //! straight to the writer. The writer trait and what is read at start are in `src/interface.rs`.
 
-use crate::ids::{Node, Rung, Sess, SetupNo, Ticket, Zone, spread};
-use crate::interface::{Care, Ending, Gauge, Headend, Place, Ration, Reach, Viewing, Writer};
+use crate::ids::{NodeId, Rung, SessionId, SetupNumber, TimerId, ZoneId, spread};
+use crate::interface::{
+    AttemptOutcome, DecisionSink, DirectorConfig, LoadMetric, NodeInfo, RetryBudget, RetrySafety, RetryScope,
+    SessionRequest,
+};
 use crate::state::{Counts, Fleet, Hold, Plant, Racks, Sitting, Sittings, Terms};
 use crate::time::{Instant, Span, halved};
 
@@ -83,7 +86,7 @@
     racks: Racks,
     sess: Sittings,
     /// Sessions that want a decision at the end of the round.
-    waiting: Vec<Sess>,
+    waiting: Vec<SessionId>,
     counts: Counts,
     list_asked: Instant,
     follows: bool,
@@ -107,11 +110,11 @@
 /// The news of one round, told in order.
 pub struct Round<'a> {
     d: &'a mut Director,
-    out: &'a mut dyn Writer,
+    out: &'a mut dyn DecisionSink,
 }
 
 impl Director {
-    pub fn start(head: &Headend, now: Instant) -> Director {
+    pub fn new(head: &DirectorConfig, now: Instant) -> Director {
         let plant = Plant::of(head);
         Director {
             now,
@@ -130,7 +133,12 @@
     }
 
     /// Takes all news of one round, then decides.
-    pub fn round<T>(&mut self, now: Instant, news: impl FnOnce(&mut Round) -> T, out: &mut dyn Writer) -> T {
+    pub fn run_round<T>(
+        &mut self,
+        now: Instant,
+        news: impl FnOnce(&mut Round) -> T,
+        out: &mut dyn DecisionSink,
+    ) -> T {
         let first = self.now == self.begun && self.fleet.node.is_empty();
         self.now = now;
         let told = news(&mut Round { d: self, out: &mut *out });
@@ -144,7 +152,7 @@
                 }
             }
             // Handed none, or some but none of our own zone, we may have been lost with that zone.
-            let zones: Vec<Zone> =
+            let zones: Vec<ZoneId> =
                 self.sess.iter().filter_map(|(_, s)| Some(self.fleet.zone[s.node?])).collect();
             let (ours, few) = (self.plant.zone, 1..AS_ONE);
             let elsewhere = self.fleet.zone.iter().any(|&zone| zone != ours);
@@ -152,9 +160,9 @@
                 self.fleet.holds.insert(ours, Hold { since: Instant::LONG_AGO, back: false });
             }
             if self.plant.ask_list.is_some() {
-                out.follow_list(true);
+                out.watch_node_list(true);
             }
-            out.wake(Ticket(0), self.plant.target * PULSE_PART);
+            out.set_timer(TimerId(0), self.plant.target * PULSE_PART);
         }
         for id in std::mem::take(&mut self.waiting) {
             self.place(id, out);
@@ -277,7 +285,7 @@
         let terms = self.plant.of_group(s);
         let (link, uplink) = self.free(p, i);
         let top = self.plant.top(s);
-        let floor = terms.group.floor.0;
+        let floor = terms.group.floor_rung.0;
         if terms.rates[usize::from(floor)] * RATE_MARGIN > link.min(uplink) {
             return None;
         }
@@ -370,24 +378,24 @@
     // Set-up
 
     /// Holders of the title that may take the session now and have room for it, with the rung, best first.
-    fn list(&mut self, p: &Picture, id: Sess) -> Vec<(f64, usize, u8)> {
+    fn list(&mut self, p: &Picture, id: SessionId) -> Vec<(f64, usize, u8)> {
         let Some(s) = self.sess.get(id) else { return Vec::new() };
         let terms = &self.plant.of_group(s).group;
         let f = &self.fleet;
         let holds = |i: usize| {
             let cells = u32::from(self.plant.cells);
-            (u32::from(f.cell[i]) + cells - u32::from(s.want.home.0) % cells) % cells
-                < u32::from(s.want.copies)
+            (u32::from(f.cell[i]) + cells - u32::from(s.want.first_cell.0) % cells) % cells
+                < u32::from(s.want.cell_count)
         };
         let held = |i: usize| {
             let rung = self.fitting(p, s, i);
             self.sess.at(i).any(|(_, o)| o.plays && o.same_seat(s) && Some(o.rung) == rung)
         };
         let within = |i: usize| match s.doubt {
-            Some((first, _)) if terms.care == Care::Dedup => match terms.reach {
-                Reach::Anywhere => true,
-                Reach::SameZone => f.zone[i] == f.zone[first],
-                Reach::SameCell => f.cell[i] == f.cell[first],
+            Some((first, _)) if terms.retry_safety == RetrySafety::Dedup => match terms.retry_scope {
+                RetryScope::Anywhere => true,
+                RetryScope::SameZone => f.zone[i] == f.zone[first],
+                RetryScope::SameCell => f.cell[i] == f.cell[first],
             },
             _ => true,
         };
@@ -423,7 +431,7 @@
 
     /// Where probes tell the load, the best of the list are probed first unless heard of just now, as many as
     /// their price allows; a probe that fails is told of, and the session is looked at again then.
-    fn look(&mut self, id: Sess, list: &[(f64, usize, u8)], out: &mut dyn Writer) -> bool {
+    fn look(&mut self, id: SessionId, list: &[(f64, usize, u8)], out: &mut dyn DecisionSink) -> bool {
         let heard: f64 = (0..self.fleet.node.len()).map(|i| self.fresh(i)).sum();
         let unheard = 1.0 - heard / self.fleet.node.len().max(1) as f64;
         let spend = if self.plant.blind { PROBE_SPEND } else { PROBE_SPEND_TOLD * unheard };
@@ -436,32 +444,34 @@
         if stale.is_empty() || self.sess.get(id).is_none_or(|s| s.looked || hurried(s)) {
             return false;
         }
-        stale.iter().for_each(|&i| out.probe(self.fleet.node[i]));
+        stale.iter().for_each(|&i| out.probe_node(self.fleet.node[i]));
         self.sess.change(&self.plant, id, |s| (s.looked, s.awaits) = (true, stale));
         true
     }
 
     /// Rules 2, 5 and 6, and the limit of SETUPs.
-    fn may_set_up(&mut self, id: Sess) -> bool {
+    fn may_set_up(&mut self, id: SessionId) -> bool {
         let Some(s) = self.sess.get(id) else { return false };
         let terms = &self.plant.of_group(s).group;
         let now = self.now;
-        let care = match (terms.care, s.doubt) {
-            (Care::Safe, _) | (_, None) => true,
-            (Care::Dedup, Some((_, sent))) => now - sent < terms.repeat_window,
-            (Care::Fragile, Some(_)) => false,
+        let care = match (terms.retry_safety, s.doubt) {
+            (RetrySafety::Safe, _) | (_, None) => true,
+            (RetrySafety::Dedup, Some((_, sent))) => now - sent < terms.retry_window,
+            (RetrySafety::Fragile, Some(_)) => false,
         };
         let seated = |o: &Sitting| (o.plays || o.out.is_some()) && o.same_seat(s);
         let seats = terms.seats == 0 || self.sess.iter().filter(|(_, o)| seated(o)).count() < terms.seats;
-        let lowest = terms.floor.0 <= self.plant.top(s);
-        let made = |r: Ration| self.counts.further.within(now, r.span) + 1.0;
-        let earned = |r: Ration| r.free + r.per_session * self.counts.taken.within(now, r.span * 0.99);
+        let lowest = terms.floor_rung.0 <= self.plant.top(s);
+        let made = |r: RetryBudget| self.counts.further.within(now, r.window) + 1.0;
+        let earned = |r: RetryBudget| {
+            r.base_retries + r.retries_per_session * self.counts.taken.within(now, r.window * 0.99)
+        };
         let ration = s.setups == 0 || self.plant.ration.is_none_or(|r| made(r) <= earned(r));
         care && seats && lowest && ration && usize::from(s.setups) < self.plant.depth && now < s.until
     }
 
     /// Sends the next SETUP of a session that has none out, or answers that there is none to send.
-    fn place(&mut self, id: Sess, out: &mut dyn Writer) {
+    fn place(&mut self, id: SessionId, out: &mut dyn DecisionSink) {
         let looks = |s: &Sitting| !s.awaits.is_empty() && self.now - s.asked < self.plant.target * PULSE_PART;
         if self.sess.get(id).is_none_or(|s| s.answered || s.plays || s.out.is_some() || looks(s)) {
             return;
@@ -474,11 +484,12 @@
         let Some(s) = self.sess.get(id) else { return };
         let terms = self.plant.of_group(s);
         let target = s.asked + terms.group.start_target;
-        let may_follow = terms.group.care == Care::Safe && usize::from(s.setups) + 1 < self.plant.depth;
+        let may_follow =
+            terms.group.retry_safety == RetrySafety::Safe && usize::from(s.setups) + 1 < self.plant.depth;
         let span = ((target - self.now) * TRY_PART).max(self.plant.target * TRY_LEAST);
         let cut = if may_follow { (self.now + span).min(s.until) } else { s.until };
         if s.setups > 0 {
-            self.counts.further.add(self.now, self.plant.ration.map_or(Span::ZERO, |r| r.span));
+            self.counts.further.add(self.now, self.plant.ration.map_or(Span::ZERO, |r| r.window));
             self.fleet.further[i].add(self.now, self.plant.repeats.map_or(Span::ZERO, |r| r.1));
         }
         self.fleet.sent[i].add(self.now, self.plant.fall_span);
@@ -489,18 +500,18 @@
             s.set(rung)
         });
         if sent == Some(true) {
-            out.rung(id, Rung(rung));
+            out.set_rung(id, Rung(rung));
         }
-        out.setup(id, self.fleet.node[i], cut);
+        out.send_setup(id, self.fleet.node[i], cut);
     }
 
     /// The final answer at once: a busy reply where rule 2 lets us, else torn down.
-    fn give_up(&mut self, id: Sess, out: &mut dyn Writer) {
+    fn give_up(&mut self, id: SessionId, out: &mut dyn DecisionSink) {
         let Some(s) = self.sess.remove(&self.plant, id) else { return };
         let terms = &self.plant.of_group(&s).group;
-        let anywhere = terms.care == Care::Dedup && terms.reach == Reach::Anywhere;
-        if terms.care == Care::Safe || anywhere || s.doubt.is_none() {
-            out.busy(id, self.come_back());
+        let anywhere = terms.retry_safety == RetrySafety::Dedup && terms.retry_scope == RetryScope::Anywhere;
+        if terms.retry_safety == RetrySafety::Safe || anywhere || s.doubt.is_none() {
+            out.reply_busy(id, self.come_back());
         } else {
             out.tear_down(id);
         }
@@ -515,7 +526,7 @@
 
     /// A session whose node has been quiet climbs one rung if that fits our part of the room: so many of the
     /// node's other sessions climb by the same report, or those of each other director.
-    fn climb(&mut self, out: &mut dyn Writer) {
+    fn climb(&mut self, out: &mut dyn DecisionSink) {
         let due = |s: &Sitting| {
             let quiet_from = s.node.map_or(self.now, |i| s.settled.max(self.fleet.short[i]));
             s.plays
@@ -524,7 +535,7 @@
                 && self.now - s.switched >= Span::from_secs(PACE)
                 && self.now - quiet_from >= s.quiet
         };
-        let due: Vec<Sess> = self.sess.iter().filter(|(_, s)| due(s)).map(|(id, _)| id).collect();
+        let due: Vec<SessionId> = self.sess.iter().filter(|(_, s)| due(s)).map(|(id, _)| id).collect();
         for id in due {
             let Some((s, i)) = self.sess.get(id).and_then(|s| Some((s, s.node?))) else { continue };
             let terms = self.plant.of_group(s);
@@ -539,10 +550,10 @@
         }
     }
 
-    fn switch(&mut self, id: Sess, rung: u8, out: &mut dyn Writer) {
+    fn switch(&mut self, id: SessionId, rung: u8, out: &mut dyn DecisionSink) {
         let now = self.now;
         self.sess.change(&self.plant, id, |s| (s.switched, _) = (now, s.set(rung)));
-        out.rung(id, Rung(rung));
+        out.set_rung(id, Rung(rung));
     }
 
     /// The share delivered at node `i` of late; 1 while it tells of no shortage.
@@ -577,16 +588,16 @@
 
     /// Short delivery is the node's, though one session of ours tells it: as many of ours there go down
     /// one rung as make up our part of what is missing, those first that lose least utility for the kB.
-    fn ease(&mut self, i: usize, share: f64, out: &mut dyn Writer) {
+    fn ease(&mut self, i: usize, share: f64, out: &mut dyn DecisionSink) {
         if self.now - self.fleet.eased[i] < self.plant.notice * 2.0 {
             return; // what was done last can't show yet
         }
         let missing = self.sess.own(i) * (1.0 - share / SHORT);
-        let mut able: Vec<(f64, Sess, f64)> = Vec::new();
+        let mut able: Vec<(f64, SessionId, f64)> = Vec::new();
         for (id, s) in self.sess.at(i) {
             let terms = self.plant.of_group(s);
             let due = self.now - s.switched >= Span::from_secs(PACE);
-            if s.plays && !s.answered && s.rung > terms.group.floor.0 && due {
+            if s.plays && !s.answered && s.rung > terms.group.floor_rung.0 && due {
                 let r = usize::from(s.rung);
                 let spared = terms.rates[r] - terms.rates[r - 1];
                 let lost = (self.plant.worth[r] - self.plant.worth[r - 1]) * terms.group.utility;
@@ -609,18 +620,18 @@
 
 impl Round<'_> {
     /// Which turns at cold nodes are ours, of so many in all; until told, one of as many as directors.
-    pub fn turns(&mut self, ours: &[usize], of: usize) {
+    pub fn set_slow_start_turns(&mut self, ours: &[usize], of: usize) {
         self.d.plant.turns = (ours.to_vec(), of.max(1) as f64);
     }
 
     /// How many further SETUPs one node may be sent by us within the span: our part of a bound of all.
-    pub fn repeats(&mut self, most: usize, span: Span) {
+    pub fn set_retry_limit_per_node(&mut self, most: usize, span: Span) {
         self.d.plant.repeats = Some((most as f64, span));
     }
 
     /// Nodes that others found failing, as far as that is agreed: tried when nothing else is left. Guards
     /// against each director finding out by SETUPs of its own; all nodes at once are as good as none.
-    pub fn doubted(&mut self, nodes: &[Node]) {
+    pub fn set_suspected_nodes(&mut self, nodes: &[NodeId]) {
         let f = &mut self.d.fleet;
         f.doubted.fill(false);
         for node in nodes {
@@ -629,27 +640,27 @@
     }
 
     /// A whole list begins, as it stands or as it was last held.
-    pub fn list_whole(&mut self) {
+    pub fn begin_list_snapshot(&mut self) {
         self.d.follows = true;
         self.d.fleet.named.fill(false);
     }
 
-    pub fn list_changes(&mut self) {
+    pub fn begin_list_update(&mut self) {
         self.d.follows = true;
         self.d.fleet.named.fill(true);
     }
 
-    pub fn list_failed(&mut self) {
+    pub fn list_watch_failed(&mut self) {
         self.d.follows = false;
     }
 
     /// Nodes that a whole list doesn't name are gone.
-    pub fn list_done(&mut self) {
+    pub fn finish_list(&mut self) {
         let f = &mut self.d.fleet;
         f.ready.iter_mut().zip(&f.named).for_each(|(ready, &named)| *ready &= named);
     }
 
-    pub fn node_ready(&mut self, node: Node, place: Place) {
+    pub fn node_ready(&mut self, node: NodeId, place: NodeInfo) {
         let d = &mut *self.d;
         let spoken_of = |i: usize| d.sess.iter().any(|(_, s)| s.speaks_of(i));
         if let Some(i) = d.fleet.enter(node, place, &d.plant, spoken_of) {
@@ -658,7 +669,7 @@
     }
 
     /// It drains or is gone.
-    pub fn node_leaves(&mut self, node: Node) {
+    pub fn node_draining(&mut self, node: NodeId) {
         if let Some(&i) = self.d.fleet.index.get(&node) {
             (self.d.fleet.ready[i], self.d.fleet.named[i]) = (false, true);
         }
@@ -666,7 +677,7 @@
 
     /// Its process is shown to be the one that it was: whatever was lost on the way, it is as warm as before.
     /// Guards against holding a node for cold after resets, spoilt and late answers.
-    pub fn went_on(&mut self, node: Node) {
+    pub fn node_kept_running(&mut self, node: NodeId) {
         let f = &mut self.d.fleet;
         if let Some(&i) = f.index.get(&node) {
             (f.failed[i], f.born[i]) = (None, f.vouched[i]);
@@ -674,33 +685,33 @@
     }
 
     /// It is gone, be it for a while: its row may be another's once no session speaks of it.
-    pub fn node_gone(&mut self, node: Node) {
-        self.node_leaves(node);
+    pub fn node_removed(&mut self, node: NodeId) {
+        self.node_draining(node);
         if let Some(&i) = self.d.fleet.index.get(&node) {
             self.d.fleet.gone[i] = true;
         }
     }
 
-    fn take(&mut self, sess: Sess, want: Viewing) -> Option<()> {
+    fn take(&mut self, sess: SessionId, want: SessionRequest) -> Option<()> {
         let d = &mut *self.d;
-        let floor = d.plant.terms.get(want.group.0)?.group.floor.0.min(d.plant.top_rung());
+        let floor = d.plant.terms.get(want.group.0)?.group.floor_rung.0.min(d.plant.top_rung());
         let quiet = Span::from_secs(QUIET.0 + (QUIET.1 - QUIET.0) * d.rng.rand_float());
         d.sess.insert(sess, Sitting::new(want, d.now, floor, quiet));
         Some(())
     }
 
-    pub fn asked(&mut self, sess: Sess, want: Viewing) {
+    pub fn session_requested(&mut self, sess: SessionId, want: SessionRequest) {
         if self.take(sess, want).is_none() {
-            return self.out.busy(sess, self.d.come_back());
+            return self.out.reply_busy(sess, self.d.come_back());
         }
-        let span = self.d.plant.ration.map_or(Span::ZERO, |r| r.span);
+        let span = self.d.plant.ration.map_or(Span::ZERO, |r| r.window);
         self.d.counts.taken.add(self.d.now, span);
         self.d.waiting.push(sess);
     }
 
     /// A session that plays already is handed over. It has been quiet before: a part, by chance, of what a
     /// climb wants, so that those handed over don't all climb at once.
-    pub fn under_way(&mut self, sess: Sess, want: Viewing, node: Node) {
+    pub fn session_handed_over(&mut self, sess: SessionId, want: SessionRequest, node: NodeId) {
         let played = self.d.rng.rand_float();
         let at = self.d.fleet.index.get(&node).copied();
         if self.take(sess, want).is_some() {
@@ -712,12 +723,12 @@
         }
     }
 
-    pub fn plays_at(&mut self, sess: Sess, rung: Rung) {
+    pub fn session_rung_reported(&mut self, sess: SessionId, rung: Rung) {
         let d = &mut *self.d;
         d.sess.change(&d.plant, sess, |s| s.set(rung.0.min(d.plant.top_rung())));
     }
 
-    pub fn started(&mut self, sess: Sess, _setup: SetupNo, node: Node) {
+    pub fn session_started(&mut self, sess: SessionId, _setup: SetupNumber, node: NodeId) {
         let d = &mut *self.d;
         d.sess.change(&d.plant, sess, |s| (s.plays, s.out, s.settled) = (true, None, d.now));
         if let Some(&i) = d.fleet.index.get(&node) {
@@ -728,7 +739,14 @@
         }
     }
 
-    pub fn ended(&mut self, sess: Sess, _setup: SetupNo, node: Node, how: Ending, complete: bool) {
+    pub fn attempt_ended(
+        &mut self,
+        sess: SessionId,
+        _setup: SetupNumber,
+        node: NodeId,
+        how: AttemptOutcome,
+        complete: bool,
+    ) {
         let d = &mut *self.d;
         let at = d.fleet.index.get(&node).copied();
         let ended = d.sess.change(&d.plant, sess, |s| {
@@ -736,7 +754,8 @@
             (s.node, s.plays) = (None, false);
             if let Some(i) = at {
                 s.tried.push(i);
-                if !matches!(how, Ending::Full | Ending::Unreachable | Ending::Unsent) {
+                if !matches!(how, AttemptOutcome::Full | AttemptOutcome::Unreachable | AttemptOutcome::Unsent)
+                {
                     s.doubt = s.doubt.or(sent.map(|sent| (i, sent)));
                 }
             }
@@ -749,34 +768,35 @@
             d.waiting.push(sess);
         }
         let Some(i) = at else { return };
-        let fails = !matches!(how, Ending::Played | Ending::Unsent | Ending::Cancelled);
+        let fails =
+            !matches!(how, AttemptOutcome::Played | AttemptOutcome::Unsent | AttemptOutcome::Cancelled);
         (setting_up && fails).then(|| d.came(i, false));
         match how {
-            Ending::Full => {
+            AttemptOutcome::Full => {
                 let asked = d.fleet.link[i] * d.plant.full_at;
                 d.fleet.others[i] = (asked - d.sess.own(i)).max(d.fleet.others[i]);
                 d.fleet.measured[i] = d.now;
                 d.fleet.word(i, d.now);
             }
-            Ending::Silent | Ending::Unreachable | Ending::Lost => d.no_answer(i),
+            AttemptOutcome::Silent | AttemptOutcome::Unreachable | AttemptOutcome::Lost => d.no_answer(i),
             _ => {}
         }
     }
 
     /// The viewer left; an outcome may still come.
-    pub fn left(&mut self, sess: Sess) {
+    pub fn viewer_left(&mut self, sess: SessionId) {
         let d = &mut *self.d;
         d.sess.change(&d.plant, sess, |s| s.answered = true);
         let Some(s) = d.sess.get(sess) else { return };
         if s.out.is_some() && d.plant.may_cancel {
-            self.out.cancel(sess, SetupNo(s.setups - 1));
+            self.out.cancel_setup(sess, SetupNumber(s.setups - 1));
         } else if s.out.is_none() && !s.plays {
             d.sess.remove(&d.plant, sess);
         }
     }
 
     /// The share of their rates that sessions at this node get.
-    pub fn delivered(&mut self, node: Node, share: f64) {
+    pub fn delivery_reported(&mut self, node: NodeId, share: f64) {
         let Some(i) = self.told(node, share) else { return };
         let d = &mut *self.d;
         d.fleet.share[i] = share.min(1.0);
@@ -794,14 +814,14 @@
     }
 
     /// The node, if it is known and the figure told of it is one.
-    fn told(&mut self, node: Node, figure: f64) -> Option<usize> {
+    fn told(&mut self, node: NodeId, figure: f64) -> Option<usize> {
         let i = self.d.fleet.index.get(&node).copied().filter(|_| figure.is_finite() && figure >= 0.0)?;
         self.d.fleet.word(i, self.d.now);
         Some(i)
     }
 
     /// What is asked of the link over what it gives.
-    pub fn link_asked(&mut self, node: Node, level: f64) {
+    pub fn link_demand_reported(&mut self, node: NodeId, level: f64) {
         let Some(i) = self.told(node, level) else { return };
         let d = &mut *self.d;
         let others = level * d.fleet.link[i] - d.own(d.now - d.plant.notice, i);
@@ -809,7 +829,7 @@
         d.fleet.measured[i] = d.now;
     }
 
-    pub fn uplink_asked(&mut self, node: Node, level: f64) {
+    pub fn uplink_demand_reported(&mut self, node: NodeId, level: f64) {
         let Some(i) = self.told(node, level) else { return };
         let d = &mut *self.d;
         let rack = d.fleet.rack[i];
@@ -819,17 +839,17 @@
     }
 
     /// A load report, its figures in the order of the gauges.
-    pub fn reported(&mut self, node: Node, figures: &[f64]) {
+    pub fn load_reported(&mut self, node: NodeId, figures: &[f64]) {
         for (k, &figure) in figures.iter().enumerate() {
             match self.d.plant.gauges.get(k) {
-                Some(Gauge::Link) => self.link_asked(node, figure),
-                Some(Gauge::Uplink) => self.uplink_asked(node, figure),
+                Some(LoadMetric::Link) => self.link_demand_reported(node, figure),
+                Some(LoadMetric::Uplink) => self.uplink_demand_reported(node, figure),
                 _ => {}
             }
         }
     }
 
-    pub fn probed(&mut self, node: Node, answered: bool) {
+    pub fn probe_finished(&mut self, node: NodeId, answered: bool) {
         let d = &mut *self.d;
         let Some(&i) = d.fleet.index.get(&node) else { return };
         if answered {
@@ -837,22 +857,22 @@
         } else {
             d.came(i, false);
         }
-        let asked = |(id, s): (Sess, &Sitting)| s.awaits.contains(&i).then_some(id);
-        let asked: Vec<Sess> = d.sess.iter().filter_map(asked).collect();
+        let asked = |(id, s): (SessionId, &Sitting)| s.awaits.contains(&i).then_some(id);
+        let asked: Vec<SessionId> = d.sess.iter().filter_map(asked).collect();
         for id in asked {
             d.sess.change(&d.plant, id, |s| s.awaits.retain(|&k| k != i));
             d.waiting.push(id);
         }
     }
 
-    pub fn woke(&mut self, _: Ticket) {
+    pub fn timer_fired(&mut self, _: TimerId) {
         let d = &mut *self.d;
         d.climb(self.out);
         d.waiting.extend(d.sess.iter().filter(|(_, s)| !s.awaits.is_empty()).map(|(id, _)| id));
         if !d.follows && d.plant.ask_list.is_some_and(|within| d.now - d.list_asked > within * ASK_PART) {
             d.list_asked = d.now;
-            self.out.follow_list(true);
+            self.out.watch_node_list(true);
         }
-        self.out.wake(Ticket(0), d.plant.target * PULSE_PART);
+        self.out.set_timer(TimerId(0), d.plant.target * PULSE_PART);
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -2,13 +2,13 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::ids::{Node, Sess, Zone};
-use crate::interface::{Gauge, Headend, Place, Ration, ServiceGroup, Viewing};
+use crate::ids::{NodeId, SessionId, ZoneId};
+use crate::interface::{DirectorConfig, LoadMetric, NodeInfo, RetryBudget, ServiceGroup, SessionRequest};
 use crate::time::{Instant, Span};
 
 /// The figures that decisions use, drawn once from what is read at start.
 pub struct Plant {
-    pub zone: Zone,
+    pub zone: ZoneId,
     pub directors: f64,
     /// The turns at cold nodes that are ours, of so many.
     pub turns: (Vec<usize>, f64),
@@ -30,7 +30,7 @@
     /// What is asked of a full node's link at least, over what it gives.
     pub full_at: f64,
     pub notice: Span,
-    pub gauges: Vec<Gauge>,
+    pub gauges: Vec<LoadMetric>,
     /// Probes tell of load, and nothing else does.
     pub may_probe: bool,
     pub blind: bool,
@@ -39,7 +39,7 @@
     pub may_cancel: bool,
     pub retry_after: Option<Span>,
     pub depth: usize,
-    pub ration: Option<Ration>,
+    pub ration: Option<RetryBudget>,
     /// Further SETUPs that one node may be sent by us, and within what; as the fleet has it.
     pub repeats: Option<(f64, Span)>,
     pub cold_from: f64,
@@ -53,7 +53,7 @@
 }
 
 impl Plant {
-    pub fn of(head: &Headend) -> Plant {
+    pub fn of(head: &DirectorConfig) -> Plant {
         let mean = head.groups.iter().map(|g| g.utility).sum::<f64>() / head.groups.len().max(1) as f64;
         let ladder = &head.ladder;
         let middle = ladder.len().saturating_sub(1) / 2;
@@ -62,47 +62,47 @@
             (ladder[r].1 - worth).max(1e-9) / (ladder[r].0 - kb).max(1e-9)
         };
         let dear = |r| ladder[middle].1.max(1e-9) / ladder[middle].0.max(1e-9) / earns(r);
-        let highest = |g: &ServiceGroup| ladder.get(usize::from(g.top.0)).map_or(0.0, |&(kb, _)| kb);
+        let highest = |g: &ServiceGroup| ladder.get(usize::from(g.top_rung.0)).map_or(0.0, |&(kb, _)| kb);
         let terms = |g: &ServiceGroup| Terms {
             dear: (0..ladder.len()).map(dear).collect(),
             group: g.clone(),
-            rates: head.ladder.iter().map(|&(kb, _)| kb * g.scale).collect(),
+            rates: head.ladder.iter().map(|&(kb, _)| kb * g.rate_scale).collect(),
             stake: if mean > 0.0 { g.utility / mean } else { 1.0 },
             need: highest(g)
                 / (head.groups.iter().map(highest).sum::<f64>() / head.groups.len() as f64).max(1e-9),
         };
         Plant {
             zone: head.zone,
-            directors: head.directors.max(1) as f64,
-            turns: (vec![head.me], head.directors.max(1) as f64),
+            directors: head.director_count.max(1) as f64,
+            turns: (vec![head.director_index], head.director_count.max(1) as f64),
             repeats: None,
             terms: head.groups.iter().map(terms).collect(),
             worth: head.ladder.iter().map(|&(_, worth)| worth).collect(),
             lowest: ladder.first().map_or(0.0, |&(kb, _)| kb),
             middle: ladder.get(middle).map_or(0.0, |&(kb, _)| kb),
-            places: head.places.clone(),
-            cells: head.cells.max(1),
-            racks: usize::from(head.racks.max(1)),
-            link_unit: head.link_unit,
-            uplink: head.uplink,
-            join: head.join,
-            worst_group: head.worst_group,
-            full_at: if head.guard > 0.0 { head.guard } else { 1.0 },
-            notice: head.notice,
-            gauges: head.gauges.clone(),
-            may_probe: head.may_probe && !head.gauges.is_empty(),
+            places: head.max_streams.clone(),
+            cells: head.cell_count.max(1),
+            racks: usize::from(head.rack_count.max(1)),
+            link_unit: head.link_kb_per_s_per_weight,
+            uplink: head.uplink_kb_per_s,
+            join: head.live_join_fraction,
+            worst_group: head.worst_group_weight,
+            full_at: if head.full_link_demand > 0.0 { head.full_link_demand } else { 1.0 },
+            notice: head.report_delay,
+            gauges: head.load_metrics.clone(),
+            may_probe: head.may_probe && !head.load_metrics.is_empty(),
             blind: head.probe_only,
-            probe_price: head.probe_price,
+            probe_price: head.probe_cost,
             may_cancel: head.may_cancel,
-            retry_after: head.retry_after,
-            depth: head.setups_per_session,
-            ration: head.ration,
-            cold_from: head.cold_from,
-            warm_after: head.warm_after,
-            fall_budget: head.fall_multiple * (head.fall_span / head.warm_after),
-            fall_span: head.fall_span,
+            retry_after: head.max_retry_after,
+            depth: head.max_setups_per_session,
+            ration: head.retry_budget,
+            cold_from: head.slow_start_initial_fraction,
+            warm_after: head.slow_start_duration,
+            fall_budget: head.overload_multiple * (head.overload_window / head.slow_start_duration),
+            fall_span: head.overload_window,
             target: head.groups.iter().map(|g| g.start_target).min().unwrap_or(Span::from_secs(1.0)),
-            ask_list: head.ask_list_within,
+            ask_list: head.node_list_max_age,
         }
     }
 
@@ -116,7 +116,7 @@
 
     /// The highest rung that this viewer may be given.
     pub fn top(&self, s: &Sitting) -> u8 {
-        s.want.top.0.min(self.of_group(s).group.top.0)
+        s.want.top_rung.0.min(self.of_group(s).group.top_rung.0)
     }
 
     /// kB a second that the sessions chosen ask for in all; viewers of one live stream share it.
@@ -148,7 +148,7 @@
 /// One session, from its request to its last outcome.
 #[derive(Clone)]
 pub struct Sitting {
-    pub want: Viewing,
+    pub want: SessionRequest,
     pub asked: Instant,
     pub until: Instant,
     pub rung: u8,
@@ -175,11 +175,11 @@
 }
 
 impl Sitting {
-    pub fn new(want: Viewing, now: Instant, rung: u8, quiet: Span) -> Sitting {
+    pub fn new(want: SessionRequest, now: Instant, rung: u8, quiet: Span) -> Sitting {
         Sitting {
             want,
             asked: now,
-            until: now + want.patience,
+            until: now + want.setup_timeout,
             rung,
             told_rung: None,
             node: None,
@@ -224,23 +224,23 @@
 /// All sessions, with what they ask of each node kept in step.
 #[derive(Default)]
 pub struct Sittings {
-    all: BTreeMap<Sess, Sitting>,
+    all: BTreeMap<SessionId, Sitting>,
     /// By node: our sessions there, and what they ask of its link.
-    at: Vec<BTreeSet<Sess>>,
+    at: Vec<BTreeSet<SessionId>>,
     own: Vec<f64>,
 }
 
 impl Sittings {
-    pub fn get(&self, id: Sess) -> Option<&Sitting> {
+    pub fn get(&self, id: SessionId) -> Option<&Sitting> {
         self.all.get(&id)
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (Sess, &Sitting)> {
+    pub fn iter(&self) -> impl Iterator<Item = (SessionId, &Sitting)> {
         self.all.iter().map(|(&id, s)| (id, s))
     }
 
     /// Our sessions at node `i`, SETUPs out included.
-    pub fn at(&self, i: usize) -> impl Iterator<Item = (Sess, &Sitting)> {
+    pub fn at(&self, i: usize) -> impl Iterator<Item = (SessionId, &Sitting)> {
         self.at.get(i).into_iter().flatten().map(|id| (*id, &self.all[id]))
     }
 
@@ -249,17 +249,22 @@
         self.own.get(i).copied().unwrap_or(0.0)
     }
 
-    pub fn insert(&mut self, id: Sess, s: Sitting) {
+    pub fn insert(&mut self, id: SessionId, s: Sitting) {
         self.all.insert(id, s);
     }
 
-    pub fn remove(&mut self, plant: &Plant, id: Sess) -> Option<Sitting> {
+    pub fn remove(&mut self, plant: &Plant, id: SessionId) -> Option<Sitting> {
         self.change(plant, id, |s| s.node = None);
         self.all.remove(&id)
     }
 
     /// The only way to change a session: what its nodes are asked for follows.
-    pub fn change<T>(&mut self, plant: &Plant, id: Sess, how: impl FnOnce(&mut Sitting) -> T) -> Option<T> {
+    pub fn change<T>(
+        &mut self,
+        plant: &Plant,
+        id: SessionId,
+        how: impl FnOnce(&mut Sitting) -> T,
+    ) -> Option<T> {
         let s = self.all.get_mut(&id)?;
         let before = (s.node, s.rung);
         let told = how(s);
@@ -338,9 +343,9 @@
 
 arrays! {
     /// Media nodes, by a dense index, and zones that failed as one.
-    Fleet(index: BTreeMap<Node, usize>, holds: BTreeMap<Zone, Hold>) {
-        node: Node = Node::default(),
-        zone: Zone = Zone::default(),
+    Fleet(index: BTreeMap<NodeId, usize>, holds: BTreeMap<ZoneId, Hold>) {
+        node: NodeId = NodeId::default(),
+        zone: ZoneId = ZoneId::default(),
         cell: u16 = 0,
         /// Streams that it runs at most.
         places: f64 = 0.0,
@@ -381,8 +386,8 @@
     /// node gets the row of one that is gone and not `spoken_of` by any session, so that rows don't grow with time.
     pub fn enter(
         &mut self,
-        node: Node,
-        place: Place,
+        node: NodeId,
+        place: NodeInfo,
         plant: &Plant,
         spoken_of: impl Fn(usize) -> bool,
     ) -> Option<usize> {
@@ -412,7 +417,7 @@
     }
 
     /// Ready nodes of the zone that gave no answer after the last word of any of its nodes; none where all are of one zone.
-    pub fn failed_since_word(&self, zone: Zone) -> usize {
+    pub fn failed_since_word(&self, zone: ZoneId) -> usize {
         if self.zone.iter().all(|&other| other == zone) {
             return 0;
         }
--- a/src/state_test.rs
+++ b/src/state_test.rs
@@ -1,39 +1,39 @@
 //! Rows of nodes and what they keep.
 
 use super::*;
-use crate::ids::{Cell, Model};
-use crate::interface::Headend;
+use crate::ids::{CellId, ModelId};
+use crate::interface::DirectorConfig;
 
 fn plant() -> Plant {
-    Plant::of(&Headend {
+    Plant::of(&DirectorConfig {
         seed: 1,
-        zone: Zone(0),
-        me: 0,
-        directors: 1,
+        zone: ZoneId(0),
+        director_index: 0,
+        director_count: 1,
         groups: Vec::new(),
         ladder: vec![(100.0, 1.0)],
-        places: vec![20.0],
-        cells: 3,
-        racks: 1,
-        link_unit: 1.0,
-        uplink: 0.0,
-        join: 1.0,
-        worst_group: 0.0,
-        guard: 0.0,
-        notice: Span::ZERO,
-        gauges: Vec::new(),
+        max_streams: vec![20.0],
+        cell_count: 3,
+        rack_count: 1,
+        link_kb_per_s_per_weight: 1.0,
+        uplink_kb_per_s: 0.0,
+        live_join_fraction: 1.0,
+        worst_group_weight: 0.0,
+        full_link_demand: 0.0,
+        report_delay: Span::ZERO,
+        load_metrics: Vec::new(),
         probe_only: false,
         may_probe: false,
-        probe_price: 0.0,
+        probe_cost: 0.0,
         may_cancel: false,
-        retry_after: None,
-        setups_per_session: 1,
-        ration: None,
-        cold_from: 0.5,
-        warm_after: Span::from_secs(10.0),
-        fall_multiple: 2.0,
-        fall_span: Span::from_secs(2.0),
-        ask_list_within: None,
+        max_retry_after: None,
+        max_setups_per_session: 1,
+        retry_budget: None,
+        slow_start_initial_fraction: 0.5,
+        slow_start_duration: Span::from_secs(10.0),
+        overload_multiple: 2.0,
+        overload_window: Span::from_secs(2.0),
+        node_list_max_age: None,
     })
 }
 
@@ -42,15 +42,15 @@
 #[test]
 fn rows_of_nodes_that_are_gone_are_used_again() {
     let (plant, mut fleet) = (plant(), Fleet::default());
-    let place = Place { zone: Zone(0), model: Model(0), cell: Cell(0), weight: 1.0, started: None };
+    let place = NodeInfo { zone: ZoneId(0), model: ModelId(0), cell: CellId(0), weight: 1.0, started: None };
     let mut shown = String::new();
     for n in 0..1000u64 {
-        fleet.enter(Node(n), place, &plant, |i| i == 2);
-        let i = fleet.index[&Node(n)];
+        fleet.enter(NodeId(n), place, &plant, |i| i == 2);
+        let i = fleet.index[&NodeId(n)];
         assert_eq!((fleet.good[i], fleet.failed[i]), (0.0, None));
         (fleet.good[i], fleet.failed[i]) = (7.0, Some(Instant::from_ms(1.0)));
         if let Some(old) = n.checked_sub(3) {
-            let row = fleet.index[&Node(old)];
+            let row = fleet.index[&NodeId(old)];
             (fleet.ready[row], fleet.gone[row]) = (false, true);
         }
         if n < 8 || n == 999 {
--- a/tests/cold_sum.rs
+++ b/tests/cold_sum.rs
@@ -34,17 +34,17 @@
 #[derive(Default)]
 struct Counter(usize);
 
-impl Writer for Counter {
-    fn setup(&mut self, _: Sess, _: Node, _: Instant) {
+impl DecisionSink for Counter {
+    fn send_setup(&mut self, _: SessionId, _: NodeId, _: Instant) {
         self.0 += 1;
     }
-    fn rung(&mut self, _: Sess, _: Rung) {}
-    fn busy(&mut self, _: Sess, _: Option<Span>) {}
-    fn tear_down(&mut self, _: Sess) {}
-    fn cancel(&mut self, _: Sess, _: SetupNo) {}
-    fn probe(&mut self, _: Node) {}
-    fn wake(&mut self, _: Ticket, _: Span) {}
-    fn follow_list(&mut self, _: bool) {}
+    fn set_rung(&mut self, _: SessionId, _: Rung) {}
+    fn reply_busy(&mut self, _: SessionId, _: Option<Span>) {}
+    fn tear_down(&mut self, _: SessionId) {}
+    fn cancel_setup(&mut self, _: SessionId, _: SetupNumber) {}
+    fn probe_node(&mut self, _: NodeId) {}
+    fn set_timer(&mut self, _: TimerId, _: Span) {}
+    fn watch_node_list(&mut self, _: bool) {}
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -69,32 +69,32 @@
 }
 
 impl Fleet {
-    fn head(&self, me: usize) -> Headend {
+    fn head(&self, me: usize) -> DirectorConfig {
         let mut head = headend();
-        (head.me, head.directors, head.seed) = (me, self.told, 7 + me as u64);
-        head.places = vec![self.places];
-        head.fall_span = Span::from_ms(FALL);
-        head.warm_after = Span::from_ms(WARM);
-        head.cold_from = COLD_FROM;
-        head.setups_per_session = 1;
-        head.cells = OTHERS as u16 + 1;
+        (head.director_index, head.director_count, head.seed) = (me, self.told, 7 + me as u64);
+        head.max_streams = vec![self.places];
+        head.overload_window = Span::from_ms(FALL);
+        head.slow_start_duration = Span::from_ms(WARM);
+        head.slow_start_initial_fraction = COLD_FROM;
+        head.max_setups_per_session = 1;
+        head.cell_count = OTHERS as u16 + 1;
         // Room is no bound here: only the pace is.
-        head.link_unit = 1e12;
+        head.link_kb_per_s_per_weight = 1e12;
         head
     }
 
     fn start(&self, me: usize, now: Instant) -> Director {
-        let mut director = Director::start(&self.head(me), now);
+        let mut director = Director::new(&self.head(me), now);
         let started = Instant::from_ms(EPOCH - STARTED_BEFORE);
-        director.round(
+        director.run_round(
             now,
             |r| {
-                r.list_whole();
-                r.node_ready(Node(1), place(1, Some(started)));
-                (2..=OTHERS + 1).for_each(|n| r.node_ready(Node(n), place(n, None)));
-                r.list_done();
+                r.begin_list_snapshot();
+                r.node_ready(NodeId(1), place(1, Some(started)));
+                (2..=OTHERS + 1).for_each(|n| r.node_ready(NodeId(n), place(n, None)));
+                r.finish_list();
                 if self.handed {
-                    r.under_way(Sess(0), want(9, 0, 0), Node(2));
+                    r.session_handed_over(SessionId(0), want(9, 0, 0), NodeId(2));
                 }
             },
             &mut Counter::default(),
@@ -131,8 +131,8 @@
                 }
                 let mut sent = Counter::default();
                 sess += 1;
-                let want = Viewing { copies: 1, ..want(sess, 0, 0) };
-                director.round(now, |r| r.asked(Sess(sess), want), &mut sent);
+                let want = SessionRequest { cell_count: 1, ..want(sess, 0, 0) };
+                director.run_round(now, |r| r.session_requested(SessionId(sess), want), &mut sent);
                 for _ in 0..sent.0 {
                     window.push_back(ms);
                 }
@@ -142,7 +142,7 @@
                 let age = ms + STARTED_BEFORE;
                 if age < WARM {
                     let warmth = COLD_FROM + (1.0 - COLD_FROM) * age / WARM;
-                    let n = self.places * headend().fall_multiple * FALL / WARM * warmth;
+                    let n = self.places * headend().overload_multiple * FALL / WARM * warmth;
                     worst = f64::max(worst, window.len() as f64 - (n + 2.0 * n.sqrt() + 2.0));
                 }
             }
--- a/tests/lost_zone.rs
+++ b/tests/lost_zone.rs
@@ -25,73 +25,74 @@
 const PLACES: f64 = 60.0;
 
 #[derive(Default)]
-struct Sent(Vec<(Sess, Node)>);
+struct Sent(Vec<(SessionId, NodeId)>);
 
-impl Writer for Sent {
-    fn setup(&mut self, sess: Sess, node: Node, _: Instant) {
+impl DecisionSink for Sent {
+    fn send_setup(&mut self, sess: SessionId, node: NodeId, _: Instant) {
         self.0.push((sess, node));
     }
-    fn rung(&mut self, _: Sess, _: Rung) {}
-    fn busy(&mut self, _: Sess, _: Option<Span>) {}
-    fn tear_down(&mut self, _: Sess) {}
-    fn cancel(&mut self, _: Sess, _: SetupNo) {}
-    fn probe(&mut self, _: Node) {}
-    fn wake(&mut self, _: Ticket, _: Span) {}
-    fn follow_list(&mut self, _: bool) {}
+    fn set_rung(&mut self, _: SessionId, _: Rung) {}
+    fn reply_busy(&mut self, _: SessionId, _: Option<Span>) {}
+    fn tear_down(&mut self, _: SessionId) {}
+    fn cancel_setup(&mut self, _: SessionId, _: SetupNumber) {}
+    fn probe_node(&mut self, _: NodeId) {}
+    fn set_timer(&mut self, _: TimerId, _: Span) {}
+    fn watch_node_list(&mut self, _: bool) {}
 }
 
 /// A director and what its SETUPs are about to come to: when, and whether anybody is there.
 struct Seat {
     director: Director,
-    setups: BTreeMap<Sess, u16>,
-    due: Vec<(f64, Sess, Node, bool)>,
+    setups: BTreeMap<SessionId, u16>,
+    due: Vec<(f64, SessionId, NodeId, bool)>,
 }
 
-fn lost(node: Node, ms: f64) -> bool {
+fn lost(node: NodeId, ms: f64) -> bool {
     node.0 % 2 == 1 && (LOST.0..LOST.1).contains(&ms)
 }
 
 impl Seat {
     fn start(me: usize) -> Seat {
         let mut head = headend();
-        (head.me, head.directors, head.seed) = (me, DIRECTORS, 7 + me as u64);
-        head.zone = Zone(me as u8 % 2);
-        (head.cells, head.places, head.link_unit) = (NODES as u16, vec![PLACES], 1e12);
-        let mut director = Director::start(&head, Instant::from_ms(EPOCH));
+        (head.director_index, head.director_count, head.seed) = (me, DIRECTORS, 7 + me as u64);
+        head.zone = ZoneId(me as u8 % 2);
+        (head.cell_count, head.max_streams, head.link_kb_per_s_per_weight) =
+            (NODES as u16, vec![PLACES], 1e12);
+        let mut director = Director::new(&head, Instant::from_ms(EPOCH));
         let told = |r: &mut ashglade::policy::Round| {
-            r.list_whole();
-            (1..=NODES).for_each(|n| r.node_ready(Node(n), place(n, None)));
-            r.list_done();
-            r.under_way(Sess(0), want(9, 0, 0), Node(2));
+            r.begin_list_snapshot();
+            (1..=NODES).for_each(|n| r.node_ready(NodeId(n), place(n, None)));
+            r.finish_list();
+            r.session_handed_over(SessionId(0), want(9, 0, 0), NodeId(2));
         };
-        director.round(Instant::from_ms(EPOCH), told, &mut Sent::default());
+        director.run_round(Instant::from_ms(EPOCH), told, &mut Sent::default());
         Seat { director, setups: BTreeMap::new(), due: Vec::new() }
     }
 
     /// One round: what has come of earlier SETUPs, and a viewer. Tells where SETUPs go.
-    fn step(&mut self, ms: f64, sess: Sess) -> Vec<Node> {
+    fn step(&mut self, ms: f64, sess: SessionId) -> Vec<NodeId> {
         let (ripe, due) = self.due.drain(..).partition(|&(at, ..)| at <= ms);
         self.due = due;
         let mut out = Sent::default();
         let news = |r: &mut ashglade::policy::Round| {
             for &(_, sess, node, plays) in &ripe {
-                let no = SetupNo(self.setups[&sess] - 1);
+                let no = SetupNumber(self.setups[&sess] - 1);
                 if plays {
-                    r.started(sess, no, node);
+                    r.session_started(sess, no, node);
                 } else {
-                    r.ended(sess, no, node, Ending::Unreachable, false);
+                    r.attempt_ended(sess, no, node, AttemptOutcome::Unreachable, false);
                 }
             }
-            r.asked(
+            r.session_requested(
                 sess,
-                Viewing {
-                    home: Cell(((sess.0.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33) % NODES) as u16),
-                    copies: 1,
+                SessionRequest {
+                    first_cell: CellId(((sess.0.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33) % NODES) as u16),
+                    cell_count: 1,
                     ..want(sess.0, 0, 0)
                 },
             );
         };
-        self.director.round(Instant::from_ms(EPOCH + ms), news, &mut out);
+        self.director.run_round(Instant::from_ms(EPOCH + ms), news, &mut out);
         for &(sess, node) in &out.0 {
             *self.setups.entry(sess).or_default() += 1;
             let gone = lost(node, ms);
@@ -105,25 +106,26 @@
 fn a_zone_that_returns_unannounced_is_asked_for_no_more_than_its_cold_nodes_bear() {
     let mut seats: Vec<Seat> = (0..DIRECTORS).map(Seat::start).collect();
     let mut next = 1;
-    let mut at: BTreeMap<Node, Vec<f64>> = BTreeMap::new();
+    let mut at: BTreeMap<NodeId, Vec<f64>> = BTreeMap::new();
     for step in 0..(END / STEP) as usize {
         for (me, seat) in seats.iter_mut().enumerate() {
             let ms = step as f64 * STEP + STEP * me as f64 / DIRECTORS as f64;
             next += 1;
-            for node in seat.step(ms, Sess(next)) {
+            for node in seat.step(ms, SessionId(next)) {
                 at.entry(node).or_default().push(ms);
             }
         }
     }
     let head = headend();
-    let (fall, warm) = (head.fall_span.as_ms(), head.warm_after.as_ms());
+    let (fall, warm) = (head.overload_window.as_ms(), head.slow_start_duration.as_ms());
     let mut came_back = 0;
     for (node, sent) in at.iter().filter(|(node, _)| node.0 % 2 == 1) {
         let back: Vec<f64> = sent.iter().copied().filter(|&ms| ms >= LOST.1).collect();
         came_back += back.len();
         for (k, &ms) in back.iter().enumerate() {
-            let warmth = head.cold_from + (1.0 - head.cold_from) * (ms - LOST.1) / warm;
-            let n = PLACES * head.fall_multiple * (fall / warm) * warmth.min(1.0);
+            let warmth = head.slow_start_initial_fraction
+                + (1.0 - head.slow_start_initial_fraction) * (ms - LOST.1) / warm;
+            let n = PLACES * head.overload_multiple * (fall / warm) * warmth.min(1.0);
             let within = back[..=k].iter().filter(|&&other| ms - other <= fall).count() as f64;
             let most = n + 2.0 * n.sqrt() + 2.0;
             assert!(within <= most, "node {}: {within} at {ms} ms, {most:.1} at most", node.0);
@@ -138,18 +140,22 @@
 fn three_failures_in_a_row_without_a_word_from_the_zone_are_the_zone_s() {
     let traces = [(3, false), (3, true), (2, false)].map(|(failures, word)| {
         let mut desk = Desk::open(8, |head| {
-            (head.cells, head.setups_per_session, head.directors) = (8, 1, 40);
+            (head.cell_count, head.max_setups_per_session, head.director_count) = (8, 1, 40);
         });
-        let at = |n: u64| Viewing { home: Cell(n as u16 - 1), copies: 1, ..want(n, 0, 0) };
+        let at = |n: u64| SessionRequest { first_cell: CellId(n as u16 - 1), cell_count: 1, ..want(n, 0, 0) };
         for k in 0..failures {
-            desk.at(1.0 + k as f64 * 0.4, |r| r.asked(Sess(k + 1), at(2 * k + 1)));
-            desk.ended(1.3 + k as f64 * 0.4, k + 1, Ending::Unreachable);
+            desk.at(1.0 + k as f64 * 0.4, |r| r.session_requested(SessionId(k + 1), at(2 * k + 1)));
+            desk.ended(1.3 + k as f64 * 0.4, k + 1, AttemptOutcome::Unreachable);
             if word && k == 1 {
-                desk.at(1.75, |r| r.delivered(Node(7), 1.0));
+                desk.at(1.75, |r| r.delivery_reported(NodeId(7), 1.0));
             }
         }
-        (10..14).for_each(|sess| desk.at(2.5 + sess as f64 * 0.01, |r| r.asked(Sess(sess), at(7))));
-        (20..22).for_each(|sess| desk.at(2.5 + sess as f64 * 0.01, |r| r.asked(Sess(sess), at(2))));
+        (10..14).for_each(|sess| {
+            desk.at(2.5 + sess as f64 * 0.01, |r| r.session_requested(SessionId(sess), at(7)))
+        });
+        (20..22).for_each(|sess| {
+            desk.at(2.5 + sess as f64 * 0.01, |r| r.session_requested(SessionId(sess), at(2)))
+        });
         format!("{failures} failures, a word between: {word}\n{}", desk.trace)
     });
     expect![[r#"
