--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -162,7 +162,7 @@
 fn door(path: &std::path::Path) -> Result<String, String> {
     let (settings, ..) = ashglade_director::load(path).map_err(|e| e.to_string())?;
     let at = ashglade_director::door_view(&settings, path).ok_or("settings name no door.view")?;
-    let (view, age) = view::<ashglade_engine::DoorView>(&at)?;
+    let (view, age) = view::<ashglade_engine::AdmissionStatus>(&at)?;
     let mut told =
         format!("as it was {age:.0} s ago\nset-ups in hand {} of {:.0}\n", view.inside, view.limit);
     for (name, waiting) in settings.group_names.iter().zip(&view.waiting) {
--- a/crates/director/src/attempt.rs
+++ b/crates/director/src/attempt.rs
@@ -8,7 +8,7 @@
 use ashglade::ids::{NodeId, SessionId, SetupNumber};
 use ashglade::interface::AttemptOutcome;
 use ashglade::time::Instant;
-use ashglade_engine::{Input, Load};
+use ashglade_engine::{Input, LoadReport};
 use ashglade_rtsp::client::{Answer, Client};
 use ashglade_rtsp::{Packet, Response, messages};
 use futures_util::{SinkExt, StreamExt};
@@ -20,7 +20,7 @@
 use crate::shared::Shared;
 
 /// How a SETUP ended, with the load that the answer told; where the node accepted it, with what the front holds of it.
-pub type Outcome<T> = Result<(T, Option<Load>), (End, Option<Load>)>;
+pub type Outcome<T> = Result<(T, Option<LoadReport>), (End, Option<LoadReport>)>;
 
 /// How a SETUP came to nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,9 +33,9 @@
 /// What the engine is told of a SETUP that has ended, and what is held if it started.
 pub fn told<T>(sess: SessionId, setup: SetupNumber, outcome: Outcome<T>) -> (Input, Option<T>) {
     match outcome {
-        Ok((held, load)) => (Input::Started { sess, setup, load }, Some(held)),
-        Err((End::As(how), load)) => (Input::Ended { sess, setup, how, load }, None),
-        Err((End::Missing, load)) => (Input::Missing { sess, setup, load }, None),
+        Ok((held, load)) => (Input::SetupAccepted { session: sess, setup, load }, Some(held)),
+        Err((End::As(how), load)) => (Input::SetupFailed { session: sess, setup, outcome: how, load }, None),
+        Err((End::Missing, load)) => (Input::TitleMissing { session: sess, setup, load }, None),
     }
 }
 
@@ -65,7 +65,7 @@
             return false;
         }
         self.written.store(true, Ordering::SeqCst);
-        shared.core.tell(Input::Written { sess: self.sess, setup: self.setup }).await;
+        shared.core.tell(Input::SetupWritten { session: self.sess, setup: self.setup }).await;
         true
     }
 }
@@ -157,11 +157,11 @@
 struct Unanswered(Option<Connection>);
 
 impl Unanswered {
-    fn connection(&mut self) -> Result<&mut Connection, (End, Option<Load>)> {
+    fn connection(&mut self) -> Result<&mut Connection, (End, Option<LoadReport>)> {
         self.0.as_mut().ok_or((End::As(AttemptOutcome::Lost), None))
     }
 
-    fn answered(&mut self) -> Result<Connection, (End, Option<Load>)> {
+    fn answered(&mut self) -> Result<Connection, (End, Option<LoadReport>)> {
         self.0.take().ok_or((End::As(AttemptOutcome::Lost), None))
     }
 }
@@ -175,11 +175,11 @@
 }
 
 /// The load that an answer tells, in the engine's words.
-pub fn load(response: &Response) -> Option<Load> {
+pub fn load(response: &Response) -> Option<LoadReport> {
     messages::load_of(response).map(in_our_words)
 }
 
 /// A load as nodes tell it, in the engine's words.
-pub fn in_our_words(told: ashglade_rtsp::load::Load) -> Load {
-    Load { link: told.link, uplink: told.uplink, streams: told.streams }
+pub fn in_our_words(told: ashglade_rtsp::load::Load) -> LoadReport {
+    LoadReport { link: told.link, uplink: told.uplink, streams: told.streams }
 }
--- a/crates/director/src/core.rs
+++ b/crates/director/src/core.rs
@@ -9,9 +9,9 @@
 use ashglade::interface::AttemptOutcome;
 use ashglade::time::Instant;
 use ashglade_clock::Clock;
-use ashglade_engine::record::{Head, Line};
-use ashglade_engine::{Effect, Engine, Input, Seen, Start};
-use ashglade_ledger::{Ledger, Outcome, pages};
+use ashglade_engine::record::{RecordHeader, RecordedRound};
+use ashglade_engine::{Effect, Engine, EngineConfig, Input, SetupResult};
+use ashglade_ledger::{Ledger, TeardownOutcome, journal};
 use tokio::sync::{mpsc, watch};
 use tracing::{debug, info, warn};
 
@@ -27,10 +27,10 @@
 }
 
 impl Book {
-    fn write(&mut self, line: &pages::Line) {
+    fn write(&mut self, line: &journal::Entry) {
         // Written at once: a kill must not take it along.
         if let Some(file) = &mut self.file
-            && let Err(error) = file.write_all(pages::write(line).as_bytes())
+            && let Err(error) = file.write_all(journal::encode(line).as_bytes())
         {
             warn!(%error, "the ledger can't be written; it is kept in memory alone");
             self.file = None;
@@ -40,17 +40,17 @@
     fn take(&mut self, page: Page, now: Instant) {
         match page {
             Page::Hold(key, held) => {
-                self.write(&pages::Line::Held(key, held.clone()));
-                self.ledger.hold(key, held);
+                self.write(&journal::Entry::Held(key, held.clone()));
+                self.ledger.session_held(key, held);
             }
             Page::Ended(key) => {
-                self.ledger.ended(key);
-                self.write(&pages::Line::Struck(key));
+                self.ledger.session_ended(key);
+                self.write(&journal::Entry::Removed(key));
             }
-            Page::Owe(key) => self.ledger.owe(key, now),
+            Page::Owe(key) => self.ledger.schedule_teardown(key, now),
             Page::Told(key, outcome) => {
-                if self.ledger.told(key, outcome, now) {
-                    self.write(&pages::Line::Struck(key));
+                if self.ledger.teardown_finished(key, outcome, now) {
+                    self.write(&journal::Entry::Removed(key));
                 }
             }
         }
@@ -67,7 +67,7 @@
     book: Book,
     drained: watch::Sender<bool>,
     /// What came of SETUPs is told here, where directors share it.
-    seen: Option<mpsc::Sender<Seen>>,
+    seen: Option<mpsc::Sender<SetupResult>>,
     /// Of it, what could not be told in the last second.
     unseen: u64,
 }
@@ -84,26 +84,26 @@
 /// Runs until no task holds a [`crate::orders::Core`] any longer.
 pub async fn run(
     with: With,
-    start: Start,
+    start: EngineConfig,
     mut commands: mpsc::Receiver<Command>,
     record: Option<std::fs::File>,
     book: Book,
     drained: watch::Sender<bool>,
-    seen: Option<mpsc::Sender<Seen>>,
+    seen: Option<mpsc::Sender<SetupResult>>,
 ) {
     let clock = with.clock;
     let begun = clock.now();
     let mut record = record.map(std::io::BufWriter::new);
     if let Some(file) = &mut record {
-        write_line(file, &Head { started: begun });
+        write_line(file, &RecordHeader { started: begun });
     }
-    let engine = Engine::start(start, begun);
+    let engine = Engine::new(start, begun);
     let (sessions, next) = (HashMap::new(), Vec::new());
     let mut this = Loop { engine, with, sessions, next, record, book, drained, seen, unseen: 0 };
     let mut taken = Vec::with_capacity(ROUND);
     let mut flushed = clock.now();
     loop {
-        let due = this.engine.next_due().into_iter().chain(this.book.ledger.next_due()).min();
+        let due = this.engine.next_deadline().into_iter().chain(this.book.ledger.next_deadline()).min();
         let due = due.map(|at| clock.at(at));
         let wait = async {
             match due {
@@ -137,7 +137,7 @@
         if let Some(file) = &mut self.record {
             let _ = file.flush();
         }
-        if let (Some(door), Some(path)) = (self.engine.door(), &self.with.door_view) {
+        if let (Some(door), Some(path)) = (self.engine.admission(), &self.with.door_view) {
             let text = serde_json::to_string(&door.view()).unwrap_or_default();
             if let Err(error) = files::replace(path, &text) {
                 warn!(path = %path.display(), %error, "the view of the door can't be written");
@@ -161,34 +161,38 @@
                 None
             }
             Command::Tally(reply) => {
-                let _ = reply.send((self.engine.tally().clone(), self.engine.in_hand()));
+                let _ = reply.send((self.engine.tally().clone(), self.engine.session_count()));
                 None
             }
         }
     }
 
     fn tear_down_owed(&mut self, now: Instant) {
-        let (calls, struck) = self.book.ledger.calls(now);
+        let (calls, struck) = self.book.ledger.due_teardowns(now);
         for key in struck {
-            self.book.write(&pages::Line::Struck(key));
+            self.book.write(&journal::Entry::Removed(key));
         }
         for call in calls {
             debug!(node = %call.held.address, "a tear-down that is owed");
-            let sess = call.sess;
+            let sess = call.session;
             if self.with.errands.try_send(Errand::TearDown(call)).is_err() {
                 // It is tried again as one that failed is.
-                self.book.take(Page::Told(sess, Outcome::Failed), now);
+                self.book.take(Page::Told(sess, TeardownOutcome::Failed), now);
             }
         }
     }
 
     /// What nodes lost by starting again is not owed any longer.
     fn nodes_started(&mut self) {
-        let starts: Vec<(NodeId, Instant)> =
-            self.engine.roster().nodes().filter_map(|(&n, entry)| Some((n, entry.place.started?))).collect();
+        let starts: Vec<(NodeId, Instant)> = self
+            .engine
+            .membership()
+            .nodes()
+            .filter_map(|(&n, entry)| Some((n, entry.place.started?)))
+            .collect();
         for (node, at) in starts {
-            for key in self.book.ledger.started(node, at) {
-                self.book.write(&pages::Line::Struck(key));
+            for key in self.book.ledger.node_started(node, at) {
+                self.book.write(&journal::Entry::Removed(key));
             }
         }
     }
@@ -198,11 +202,11 @@
         let effects = self.engine.round(now, inputs);
         if let Some(seen) = &self.seen {
             // What doesn't fit is one director's sight of one SETUP; it is counted.
-            let lost = self.engine.seen().iter().filter(|&&outcome| seen.try_send(outcome).is_err());
+            let lost = self.engine.setup_results().iter().filter(|&&outcome| seen.try_send(outcome).is_err());
             self.unseen += lost.count() as u64;
         }
         if let (Some(file), Some(inputs)) = (&mut self.record, recorded) {
-            write_line(file, &Line { at: now, inputs, effects: effects.clone() });
+            write_line(file, &RecordedRound { at: now, inputs, effects: effects.clone() });
         }
         for effect in effects {
             self.act(now, effect);
@@ -211,48 +215,53 @@
 
     fn act(&mut self, now: Instant, effect: Effect) {
         match effect {
-            Effect::Setup { sess, setup, node, rung, .. } => {
-                let addresses = self.engine.roster().entry(node).map(|entry| (entry.address, entry.http));
+            Effect::SendSetup { session: sess, setup, node, rung, .. } => {
+                let addresses = self.engine.membership().entry(node).map(|entry| (entry.address, entry.http));
                 let sent = addresses.is_some_and(|(address, http)| {
                     debug!(sess = sess.0, node = %address, rung = rung.0, "SETUP");
                     self.order(sess, Order::Setup { setup, node, address, http, rung, decided: now })
                 });
                 if !sent {
-                    self.next.push(Input::Ended { sess, setup, how: AttemptOutcome::Unsent, load: None });
+                    self.next.push(Input::SetupFailed {
+                        session: sess,
+                        setup,
+                        outcome: AttemptOutcome::Unsent,
+                        load: None,
+                    });
                 }
             }
-            Effect::Withdraw { sess, setup, if_unsent } => {
+            Effect::CancelSetup { session: sess, setup, if_unsent } => {
                 self.order(sess, Order::Withdraw { setup, if_unsent });
             }
-            Effect::Answer { sess, answer } => {
+            Effect::Respond { session: sess, response: answer } => {
                 debug!(sess = sess.0, ?answer, "answered");
                 self.order(sess, Order::Answer(answer));
             }
-            Effect::Rung { sess, rung } => {
+            Effect::ChangeRung { session: sess, rung } => {
                 debug!(sess = sess.0, rung = rung.0, "rung");
                 self.order(sess, Order::Rung(rung));
             }
-            Effect::Release { sess } => {
+            Effect::ReleaseSession { session: sess } => {
                 self.order(sess, Order::Release);
             }
             // These fronts have no word for coming again: the session ends.
-            Effect::SendBack { sess } => {
+            Effect::ReconnectViewer { session: sess } => {
                 self.order(sess, Order::Release);
-                self.next.push(Input::Over { sess, how: AttemptOutcome::Cancelled });
+                self.next.push(Input::SessionEnded { session: sess, outcome: AttemptOutcome::Cancelled });
             }
-            Effect::Probe { probe, node } => {
-                let address = self.engine.roster().entry(node).map(|entry| entry.address);
+            Effect::SendProbe { probe, node } => {
+                let address = self.engine.membership().entry(node).map(|entry| entry.address);
                 let sent =
                     address.map(|address| self.with.errands.try_send(Errand::Probe { probe, address }));
                 if !matches!(sent, Some(Ok(()))) {
-                    self.next.push(Input::Probed { probe, load: None });
+                    self.next.push(Input::ProbeResult { probe, load: None });
                 }
             }
-            Effect::Listed { generation, refused: None } => {
+            Effect::DiscoveryResult { generation, rejection: None } => {
                 info!(generation, "box list taken");
                 self.nodes_started();
             }
-            Effect::Listed { generation, refused: Some(why) } => {
+            Effect::DiscoveryResult { generation, rejection: Some(why) } => {
                 warn!(generation, why, "box list left out; the one held stays in force");
             }
             Effect::Drained => {
@@ -269,7 +278,7 @@
             Err(error) => {
                 if matches!(error, mpsc::error::TrySendError::Full(_)) {
                     warn!(sess = sess.0, "takes no orders; let go");
-                    self.next.push(Input::Left { sess });
+                    self.next.push(Input::ViewerLeft { session: sess });
                 }
                 self.sessions.remove(&sess);
                 false
--- a/crates/director/src/files.rs
+++ b/crates/director/src/files.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use ashglade_ledger::pages;
+use ashglade_ledger::journal;
 
 #[derive(Debug, thiserror::Error)]
 pub enum Trouble {
@@ -15,7 +15,7 @@
     #[error("no box list: {0}")]
     NoList(String),
     #[error("{path}: {source}")]
-    Ledger { path: PathBuf, source: pages::Trouble },
+    Ledger { path: PathBuf, source: journal::JournalError },
     #[error("listening at {address}: {source}")]
     Listen { address: std::net::SocketAddr, source: std::io::Error },
     #[error("signals can't be caught: {0}")]
--- a/crates/director/src/hls/fetch.rs
+++ b/crates/director/src/hls/fetch.rs
@@ -6,7 +6,7 @@
 
 use ashglade::ids::NodeId;
 use ashglade::interface::AttemptOutcome;
-use ashglade_engine::Load;
+use ashglade_engine::LoadReport;
 use ashglade_hls::Variant;
 use ashglade_hls::playlist::{self, MOST_BYTES, Place};
 use ashglade_rtsp::load;
@@ -32,7 +32,7 @@
 }
 
 /// The load that an answer tells.
-pub fn load_of<B>(response: &Response<B>) -> Option<Load> {
+pub fn load_of<B>(response: &Response<B>) -> Option<LoadReport> {
     Some(in_our_words(load::Load::read(response.headers().get("x-load")?.to_str().ok()?)))
 }
 
@@ -129,7 +129,7 @@
 }
 
 /// A playlist, whole.
-pub async fn text(shared: &Shared, url: &Url) -> Result<(StatusCode, Option<Load>, Bytes), Lost> {
+pub async fn text(shared: &Shared, url: &Url) -> Result<(StatusCode, Option<LoadReport>, Bytes), Lost> {
     let response = get(shared, url, None).await?;
     let (status, load) = (response.status(), load_of(&response));
     let within = shared.settings.front.answer_timeout;
--- a/crates/director/src/hls/mod.rs
+++ b/crates/director/src/hls/mod.rs
@@ -249,7 +249,14 @@
             return Err(busy("too many sessions", settings.headend.max_retry_after.map(|s| s.as_ms() / 1e3)));
         }
         self.sessions.lock().unwrap_or_else(|broken| broken.into_inner()).insert(sess, jobs);
-        self.shared.core.send(Command::Open { input: Input::Asked { sess, want }, sess, orders }).await;
+        self.shared
+            .core
+            .send(Command::Open {
+                input: Input::SessionRequested { session: sess, request: want },
+                sess,
+                orders,
+            })
+            .await;
         let front = self.clone();
         tokio::spawn(async move {
             session::run(front.clone(), session).await;
--- a/crates/director/src/hls/session.rs
+++ b/crates/director/src/hls/session.rs
@@ -8,7 +8,7 @@
 use ashglade::ids::{Rung, SessionId, SetupNumber};
 use ashglade::interface::{AttemptOutcome, RetrySafety};
 use ashglade::time::Instant;
-use ashglade_engine::{Answer, Input, Want};
+use ashglade_engine::{Input, SessionResponse, ViewerRequest};
 use ashglade_hls::playlist::{self, Place};
 use ashglade_hls::{Ask, Session, Step, Token};
 use http_body_util::BodyExt;
@@ -30,7 +30,7 @@
     /// Of the player's first request; goes along to the node.
     pub query: String,
     pub token: Token,
-    pub want: Want,
+    pub want: ViewerRequest,
     pub orders: mpsc::Receiver<Order>,
     pub jobs: mpsc::Receiver<Job>,
     pub reply: oneshot::Sender<Reply>,
@@ -50,7 +50,7 @@
     query: String,
     token: Token,
     signed: String,
-    want: Want,
+    want: ViewerRequest,
     /// The session as the engine knows it: another than the token's once its node was lost.
     sess: SessionId,
     orders: mpsc::Receiver<Order>,
@@ -191,8 +191,12 @@
                         self.attempt = Some(Attempt::start(self.sess, setup, decided, send));
                     }
                     _ => {
-                        let input =
-                            Input::Ended { sess: self.sess, setup, how: AttemptOutcome::Unsent, load: None };
+                        let input = Input::SetupFailed {
+                            session: self.sess,
+                            setup,
+                            outcome: AttemptOutcome::Unsent,
+                            load: None,
+                        };
                         shared.core.tell(input).await;
                     }
                 }
@@ -204,13 +208,13 @@
                     self.tell(setup, outcome).await;
                 }
             }
-            Order::Answer(Answer::Plays { rung }) => self.plays(rung).await,
-            Order::Answer(Answer::Busy { retry_after, why }) => {
+            Order::Answer(SessionResponse::Plays { rung }) => self.plays(rung).await,
+            Order::Answer(SessionResponse::Busy { retry_after, why }) => {
                 let after = retry_after.map(|after| after.as_ms() / 1e3);
                 info!(sess = self.sess.0, title = self.title, ?why, retry_after_s = after, "busy reply");
                 self.refuse(|| busy("there is no room just now", after));
             }
-            Order::Answer(Answer::TornDown) => {
+            Order::Answer(SessionResponse::TornDown) => {
                 info!(sess = self.sess.0, "torn down");
                 self.refuse(|| plain(StatusCode::BAD_GATEWAY, "no node could be asked in time"));
             }
@@ -296,7 +300,7 @@
         self.sess = shared.new_sess();
         let (sender, orders) = mpsc::channel(ORDERS);
         self.orders = orders;
-        let input = Input::Asked { sess: self.sess, want: self.want };
+        let input = Input::SessionRequested { session: self.sess, request: self.want };
         shared.core.send(Command::Open { input, sess: self.sess, orders: sender }).await;
     }
 
@@ -340,7 +344,7 @@
         };
         if let (Some(load), Some(held)) = (load, &self.held) {
             let node = held.node.0;
-            shared.core.tell(Input::Load { node, load }).await;
+            shared.core.tell(Input::NodeLoad { node, load }).await;
         }
         if status != StatusCode::OK {
             let status = if status.is_client_error() { status } else { StatusCode::BAD_GATEWAY };
@@ -413,7 +417,7 @@
             // What came while the node was waited for, against what the variant asks.
             let got = relayed.bytes as f64 / 1e3 / relayed.waited.as_secs_f64().max(1e-3);
             let share = (got / rate).min(1.0);
-            shared.core.tell(Input::Flow { sess: self.sess, share }).await;
+            shared.core.tell(Input::SessionDelivery { session: self.sess, share }).await;
         }
     }
 
@@ -425,7 +429,7 @@
         let shared = self.front.shared.clone();
         let how = if lost == Lost::Node { AttemptOutcome::Lost } else { AttemptOutcome::Silent };
         info!(sess = self.sess.0, ?how, "broken");
-        shared.core.tell(Input::Over { sess: self.sess, how }).await;
+        shared.core.tell(Input::SessionEnded { session: self.sess, outcome: how }).await;
         shared.core.send(Command::Close(self.sess)).await;
         self.held = None;
         self.kept.clear();
@@ -442,7 +446,7 @@
         }
         let core = self.front.shared.core.clone();
         let sess = self.sess;
-        core.tell(Input::Left { sess }).await;
+        core.tell(Input::ViewerLeft { session: sess }).await;
         if let Some(attempt) = self.attempt.take() {
             let setup = attempt.setup;
             let (input, _) = attempt::told(sess, setup, attempt.withdraw().await);
--- a/crates/director/src/lists.rs
+++ b/crates/director/src/lists.rs
@@ -194,7 +194,7 @@
         });
         if let Some(list) = list {
             keep(&files, Some(&list), &names);
-            shared.core.tell(Input::List(list)).await;
+            shared.core.tell(Input::DiscoverySnapshot(list)).await;
         }
     }
 }
--- a/crates/director/src/node.rs
+++ b/crates/director/src/node.rs
@@ -6,7 +6,7 @@
 
 use ashglade::ids::{NodeId, SessionId};
 use ashglade::time::Span;
-use ashglade_ledger::Held;
+use ashglade_ledger::HeldSession;
 use ashglade_rtsp::client::{Answer, Client, Purpose};
 use ashglade_rtsp::{Fault, Packet, Request};
 use futures_util::{SinkExt, StreamExt};
@@ -34,7 +34,7 @@
         client: Client,
     ) -> NodeSide {
         let key = shared.new_sess();
-        let held = Held {
+        let held = HeldSession {
             node,
             address,
             url: client.url().to_string(),
--- a/crates/director/src/orders.rs
+++ b/crates/director/src/orders.rs
@@ -5,8 +5,8 @@
 use ashglade::ids::{NodeId, Rung, SessionId, SetupNumber};
 use ashglade::interface::AttemptOutcome;
 use ashglade::time::Instant;
-use ashglade_engine::{Answer, Input, Tally};
-use ashglade_ledger::{Call, Held, Outcome};
+use ashglade_engine::{Input, SessionResponse, Tally};
+use ashglade_ledger::{HeldSession, Teardown, TeardownOutcome};
 use tokio::sync::{mpsc, oneshot};
 
 /// Inputs that wait for the engine at most; a full channel slows those who read sockets.
@@ -29,7 +29,7 @@
         setup: SetupNumber,
         if_unsent: bool,
     },
-    Answer(Answer),
+    Answer(SessionResponse),
     Rung(Rung),
     Release,
 }
@@ -50,16 +50,16 @@
 
 /// What concerns the ledger of sessions at nodes.
 pub enum Page {
-    Hold(SessionId, Held),
+    Hold(SessionId, HeldSession),
     Ended(SessionId),
     Owe(SessionId),
-    Told(SessionId, Outcome),
+    Told(SessionId, TeardownOutcome),
 }
 
 /// What the engine's task wants done at a node, by whoever has the means.
 pub enum Errand {
     Probe { probe: u64, address: SocketAddr },
-    TearDown(Call),
+    TearDown(Teardown),
 }
 
 /// How other tasks reach the engine.
@@ -101,7 +101,13 @@
     orders.close();
     while let Ok(order) = orders.try_recv() {
         if let Order::Setup { setup, .. } = order {
-            core.tell(Input::Ended { sess, setup, how: AttemptOutcome::Unsent, load: None }).await;
+            core.tell(Input::SetupFailed {
+                session: sess,
+                setup,
+                outcome: AttemptOutcome::Unsent,
+                load: None,
+            })
+            .await;
         }
     }
     core.send(Command::Close(sess)).await;
--- a/crates/director/src/owed.rs
+++ b/crates/director/src/owed.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use ashglade_ledger::{Call, Outcome};
+use ashglade_ledger::{Teardown, TeardownOutcome};
 use ashglade_rtsp::{Packet, messages};
 use futures_util::{SinkExt, StreamExt};
 use rtsp_types::{Method, StatusCode, Url, headers};
@@ -11,14 +11,14 @@
 use crate::shared::Shared;
 
 /// Tries one and tells what came of it.
-pub async fn call(shared: Arc<Shared>, call: Call) {
+pub async fn call(shared: Arc<Shared>, call: Teardown) {
     let within = shared.settings.front.answer_timeout;
     let ended = tokio::time::timeout(within, ask(&shared, &call)).await.ok().flatten().is_some();
-    let outcome = if ended { Outcome::Ended } else { Outcome::Failed };
-    shared.core.send(Command::Page(Page::Told(call.sess, outcome))).await;
+    let outcome = if ended { TeardownOutcome::Confirmed } else { TeardownOutcome::Failed };
+    shared.core.send(Command::Page(Page::Told(call.session, outcome))).await;
 }
 
-async fn ask(shared: &Shared, call: &Call) -> Option<()> {
+async fn ask(shared: &Shared, call: &Teardown) -> Option<()> {
     let address = call.held.address;
     let mut connection = shared.pool.connect(address, shared.settings.front.connect_timeout).await.ok()?;
     let url = Url::parse(&call.held.url).ok()?;
--- a/crates/director/src/probe.rs
+++ b/crates/director/src/probe.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashglade_engine::{Input, Load};
+use ashglade_engine::{Input, LoadReport};
 use ashglade_rtsp::{Packet, messages};
 use futures_util::{SinkExt, StreamExt};
 use rtsp_types::{Method, Url, headers};
@@ -16,10 +16,10 @@
 pub async fn probe(shared: Arc<Shared>, probe: u64, node: SocketAddr) {
     let within = Duration::from_secs_f64(shared.settings.probe_timeout.as_ms() / 1e3);
     let load = tokio::time::timeout(within, ask(&shared, node)).await.ok().flatten();
-    shared.core.tell(Input::Probed { probe, load }).await;
+    shared.core.tell(Input::ProbeResult { probe, load }).await;
 }
 
-async fn ask(shared: &Shared, node: SocketAddr) -> Option<Load> {
+async fn ask(shared: &Shared, node: SocketAddr) -> Option<LoadReport> {
     let mut connection = shared.pool.connect(node, shared.settings.front.connect_timeout).await.ok()?;
     let url = Url::parse(&format!("rtsp://{node}/")).ok()?;
     let mut request = messages::request(Method::GetParameter, &url, 1);
--- a/crates/director/src/serve.rs
+++ b/crates/director/src/serve.rs
@@ -6,8 +6,8 @@
 
 use ashglade::time::Span;
 use ashglade_discovery::List;
-use ashglade_engine::{DoorTerms, Input, Start};
-use ashglade_ledger::{Ledger, Terms, pages};
+use ashglade_engine::{AdmissionConfig, EngineConfig, Input};
+use ashglade_ledger::{Ledger, TeardownPolicy, journal};
 use ashglade_rtsp::digest::Users;
 use ashglade_settings::Settings;
 use bytes::Bytes;
@@ -60,14 +60,14 @@
 }
 
 /// What the engine is started with, from settings.
-pub fn replay_start(settings: &Settings) -> Start {
+pub fn replay_start(settings: &Settings) -> EngineConfig {
     let headend = &settings.headend;
-    Start {
-        headend: headend.clone(),
+    EngineConfig {
+        director: headend.clone(),
         answer_margin: settings.answer_margin,
         probe_timeout: settings.probe_timeout,
-        most_sessions: settings.most_sessions,
-        door: settings.door.as_ref().map(|door| DoorTerms {
+        max_sessions: settings.most_sessions,
+        admission: settings.door.as_ref().map(|door| AdmissionConfig {
             seed: headend.seed,
             groups: door.shares.iter().copied().zip(headend.groups.iter().map(|g| g.utility)).collect(),
             tenants: door.tenants.iter().map(|&(_, share)| share).collect(),
@@ -129,7 +129,7 @@
         )),
     });
     let (drained, mut is_drained) = watch::channel(false);
-    shared.core.tell(Input::List(list.clone())).await;
+    shared.core.tell(Input::DiscoverySnapshot(list.clone())).await;
     let book = book(&settings, &options.settings, clock.now())?;
     let (seen, outcomes) = mpsc::channel(INPUTS);
     let talk = talk.and_then(|socket| {
@@ -214,22 +214,24 @@
 
 /// Opens the ledger, with what the director before this one left in it, and begins its pages anew.
 fn book(settings: &Settings, path: &Path, now: ashglade::time::Instant) -> Result<Book, Trouble> {
-    let mut ledger = Ledger::new(Terms::default(), settings.headend.seed);
+    let mut ledger = Ledger::new(TeardownPolicy::default(), settings.headend.seed);
     let Some(name) = &settings.front.ledger else { return Ok(Book { ledger, file: None }) };
     let path = beside(path, name);
     let trouble = |source| Trouble::Read { path: path.clone(), source };
     let open = match std::fs::read_to_string(&path) {
-        Ok(text) => pages::open(&text).map_err(|source| Trouble::Ledger { path: path.clone(), source })?,
+        Ok(text) => {
+            journal::open_sessions(&text).map_err(|source| Trouble::Ledger { path: path.clone(), source })?
+        }
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => Default::default(),
         Err(error) => return Err(trouble(error)),
     };
     let lines: String =
-        open.iter().map(|(&key, held)| pages::write(&pages::Line::Held(key, held.clone()))).collect();
+        open.iter().map(|(&key, held)| journal::encode(&journal::Entry::Held(key, held.clone()))).collect();
     replace(&path, &lines).map_err(trouble)?;
     let file = std::fs::OpenOptions::new().append(true).open(&path).map_err(trouble)?;
     if !open.is_empty() {
         info!(sessions = open.len(), "tear-downs owed by the director before this one");
     }
-    open.into_iter().for_each(|(key, held)| ledger.inherit(key, held, now));
+    open.into_iter().for_each(|(key, held)| ledger.schedule_inherited(key, held, now));
     Ok(Book { ledger, file: Some(file) })
 }
--- a/crates/director/src/shared.rs
+++ b/crates/director/src/shared.rs
@@ -6,7 +6,7 @@
 
 use ashglade::ids::{GroupId, Rung, SessionId};
 use ashglade_clock::Clock;
-use ashglade_engine::Want;
+use ashglade_engine::ViewerRequest;
 use ashglade_rtsp::digest::Users;
 use ashglade_settings::{Settings, Title};
 use bytes::Bytes;
@@ -49,19 +49,19 @@
         top: u8,
         element: impl Fn(&str) -> Option<String>,
         peer: impl FnOnce() -> String,
-    ) -> Want {
+    ) -> ViewerRequest {
         let settings = &self.settings;
         let door = settings.door.as_ref();
         let client = door.and_then(|door| door.client_query.as_deref()).and_then(&element);
         let tenant = door.and_then(|door| door.tenant_query.as_deref()).and_then(&element);
         let mut hasher = SipHasher13::new();
         client.unwrap_or_else(peer).hash(&mut hasher);
-        Want {
+        ViewerRequest {
             group,
             title: ashglade::ids::TitleId(title.id),
-            top: Rung(top.min(settings.top_rung())),
-            home: title.home,
-            copies: title.copies,
+            top_rung: Rung(top.min(settings.top_rung())),
+            first_cell: title.home,
+            cell_count: title.copies,
             setup_timeout: settings.setup_timeouts[group.0],
             tenant: settings.tenant(tenant.as_deref()),
             client: hasher.finish(),
--- a/crates/director/src/viewer.rs
+++ b/crates/director/src/viewer.rs
@@ -7,7 +7,7 @@
 
 use ashglade::ids::{Rung, SetupNumber};
 use ashglade::interface::AttemptOutcome;
-use ashglade_engine::{Answer, Input};
+use ashglade_engine::{Input, SessionResponse};
 use ashglade_rtsp::client::{self, Purpose};
 use ashglade_rtsp::codec::FRAME_HEADER;
 use ashglade_rtsp::presentation::Asked;
@@ -228,7 +228,7 @@
         let element = |name: &str| asked.element(name).map(|value| value.to_string());
         let want = shared.want(title, group, top, element, || peer().unwrap_or_default());
         let (sender, orders) = mpsc::channel(ORDERS);
-        let input = Input::Asked { sess, want };
+        let input = Input::SessionRequested { session: sess, request: want };
         shared.core.send(Command::Open { input, sess, orders: sender }).await;
         self.live = Some(Box::new(Live::new(&shared, sess, asked, orders)));
         Ok(())
@@ -251,7 +251,12 @@
                     None => {
                         shared
                             .core
-                            .tell(Input::Ended { sess, setup, how: AttemptOutcome::Unsent, load: None })
+                            .tell(Input::SetupFailed {
+                                session: sess,
+                                setup,
+                                outcome: AttemptOutcome::Unsent,
+                                load: None,
+                            })
                             .await;
                     }
                 }
@@ -265,20 +270,20 @@
                 }
                 Ok(())
             }
-            Order::Answer(Answer::Plays { .. }) => {
+            Order::Answer(SessionResponse::Plays { .. }) => {
                 let ssrc = live.ssrc(self.server.track());
                 info!(sess = sess.0, title = live.asked.title, rung = live.rung, "plays");
                 let name = format!("{:016x}", shared.random());
                 let response = self.server.granted(name, ssrc);
                 self.reply(response).await
             }
-            Order::Answer(Answer::Busy { retry_after, why }) => {
+            Order::Answer(SessionResponse::Busy { retry_after, why }) => {
                 let after = retry_after.map(|after| after.as_ms() / 1e3);
                 info!(sess = sess.0, title = live.asked.title, ?why, retry_after_s = after, "busy reply");
                 let response = self.server.turned_away(StatusCode::ServiceUnavailable, after);
                 self.turned_away(response).await
             }
-            Order::Answer(Answer::TornDown) => {
+            Order::Answer(SessionResponse::TornDown) => {
                 info!(sess = sess.0, "torn down");
                 let response = self.server.turned_away(StatusCode::BadGateway, None);
                 self.turned_away(response).await
@@ -393,7 +398,10 @@
         self.flush().await?;
         let Some(mut live) = self.live.take() else { return Ok(()) };
         info!(sess = live.sess.0, "played out");
-        self.shared.core.tell(Input::Over { sess: live.sess, how: AttemptOutcome::Played }).await;
+        self.shared
+            .core
+            .tell(Input::SessionEnded { session: live.sess, outcome: AttemptOutcome::Played })
+            .await;
         if let Some(node) = live.node.take() {
             tokio::spawn(node.tear_down(self.shared.clone()));
         }
@@ -406,7 +414,7 @@
         let Some(node) = &mut live.node else { return Ok(()) };
         if let Some(load) = attempt::load(&response) {
             let node = node.node;
-            shared.core.tell(Input::Load { node, load }).await;
+            shared.core.tell(Input::NodeLoad { node, load }).await;
         }
         let reply = match node.client.answered(&response) {
             client::Answer::Done(Purpose::Setup { track }) => self.server.track_granted(live.ssrc(track)),
@@ -421,7 +429,7 @@
             client::Answer::Done(Purpose::Pause) => self.server.paused(),
             client::Answer::Refused(Purpose::Switch { from }, _) => {
                 live.told = from;
-                shared.core.tell(Input::Stays { sess: live.sess, rung: Rung(from) }).await;
+                shared.core.tell(Input::RungUnchanged { session: live.sess, rung: Rung(from) }).await;
                 return Ok(());
             }
             client::Answer::Refused(Purpose::Setup { .. } | Purpose::Play | Purpose::Pause, status) => {
@@ -438,7 +446,7 @@
         let Some(node) = live.node.take() else { return Ok(()) };
         info!(sess = live.sess.0, ?how, node = %node.address, "broken");
         node.lose(&self.shared).await;
-        self.shared.core.tell(Input::Over { sess: live.sess, how }).await;
+        self.shared.core.tell(Input::SessionEnded { session: live.sess, outcome: how }).await;
         let Some(live) = self.live.take() else { return Ok(()) };
         if self.server.waits() {
             let reply = self.server.failed(StatusCode::BadGateway);
@@ -476,7 +484,7 @@
             && let Some(share) =
                 live.share(shared.clock.micros(), |track| self.server.channels(track).is_some())
         {
-            shared.core.tell(Input::Flow { sess: live.sess, share }).await;
+            shared.core.tell(Input::SessionDelivery { session: live.sess, share }).await;
         }
         let Some(node) = &mut live.node else { return Ok(()) };
         if live.kept_alive.elapsed() >= front.keep_alive {
@@ -492,7 +500,7 @@
     async fn end_session(&mut self) {
         let Some(mut live) = self.live.take() else { return };
         let (core, sess) = (&self.shared.core, live.sess);
-        core.tell(Input::Left { sess }).await;
+        core.tell(Input::ViewerLeft { session: sess }).await;
         if let Some(attempt) = live.attempt.take() {
             let setup = attempt.setup;
             let (input, node) = attempt::told(sess, setup, attempt.withdraw().await);
--- a/crates/engine/src/answers.rs
+++ b/crates/engine/src/answers.rs
@@ -8,8 +8,8 @@
 use ashglade::time::Instant;
 use serde::Serialize;
 
+use crate::messages::{SessionResponse, ViewerRequest};
 use crate::setups::Out;
-use crate::words::{Answer, Want};
 
 /// A session in hand, from its request to its last ending.
 #[derive(Debug)]
@@ -22,7 +22,7 @@
     /// The viewer has gone.
     pub left: bool,
     /// It waits at the door with this; the module has not heard of it.
-    pub at_door: Option<Want>,
+    pub at_door: Option<ViewerRequest>,
     pub setups: u16,
     pub out: Option<Out>,
     pub plays_at: Option<NodeId>,
@@ -103,15 +103,15 @@
 
     /// Notes the answer; true if it is the first and the viewer is there to hear it. A session that was refused
     /// and has no SETUP out is no longer in hand.
-    pub fn answer(&mut self, sess: SessionId, answer: &Answer) -> bool {
+    pub fn answer(&mut self, sess: SessionId, answer: &SessionResponse) -> bool {
         let Some(hand) = self.all.get_mut(&sess) else { return false };
         let first = !hand.answered && !hand.left;
         hand.answered = true;
         if first {
             match answer {
-                Answer::Plays { .. } => self.tally.plays += 1,
-                Answer::Busy { .. } => self.tally.busy += 1,
-                Answer::TornDown => self.tally.torn_down += 1,
+                SessionResponse::Plays { .. } => self.tally.plays += 1,
+                SessionResponse::Busy { .. } => self.tally.busy += 1,
+                SessionResponse::TornDown => self.tally.torn_down += 1,
             }
         }
         let over = hand.out.is_none() && hand.plays_at.is_none();
--- a/crates/engine/src/desk.rs
+++ b/crates/engine/src/desk.rs
@@ -6,9 +6,9 @@
 use ashglade_catalogue::Missing;
 
 use crate::answers::Hands;
+use crate::messages::{BusyReason, Effect, SessionResponse};
 use crate::setups::{Out, Withdrawn};
 use crate::timers::{Timer, Timers};
-use crate::words::{Answer, Effect, Why};
 
 pub(crate) struct Desk<'a> {
     pub now: Instant,
@@ -23,9 +23,9 @@
 }
 
 impl Desk<'_> {
-    fn answer(&mut self, sess: SessionId, answer: Answer) {
+    fn answer(&mut self, sess: SessionId, answer: SessionResponse) {
         if self.hands.answer(sess, &answer) {
-            self.effects.push(Effect::Answer { sess, answer });
+            self.effects.push(Effect::Respond { session: sess, response: answer });
         }
     }
 }
@@ -50,7 +50,7 @@
         }
         self.hands.tally.setups += 1;
         self.timers.at(until, Timer::Setup(sess, setup));
-        self.effects.push(Effect::Setup { sess, setup, node, rung, until });
+        self.effects.push(Effect::SendSetup { session: sess, setup, node, rung, deadline: until });
     }
 
     fn set_rung(&mut self, sess: SessionId, rung: Rung) {
@@ -58,22 +58,22 @@
         let changed = std::mem::replace(&mut hand.rung, rung) != rung;
         if changed && hand.plays_at.is_some() {
             self.hands.tally.rungs += 1;
-            self.effects.push(Effect::Rung { sess, rung });
+            self.effects.push(Effect::ChangeRung { session: sess, rung });
         }
     }
 
     fn reply_busy(&mut self, sess: SessionId, retry_after: Option<Span>) {
-        self.answer(sess, Answer::Busy { retry_after, why: Why::NoRoom });
+        self.answer(sess, SessionResponse::Busy { retry_after, why: BusyReason::NoRoom });
     }
 
     fn tear_down(&mut self, sess: SessionId) {
-        self.answer(sess, Answer::TornDown);
+        self.answer(sess, SessionResponse::TornDown);
     }
 
     fn cancel_setup(&mut self, sess: SessionId, setup: SetupNumber) {
         let out = self.hands.get_mut(sess).and_then(|hand| hand.out.as_mut());
         if out.filter(|out| out.setup == setup).is_some_and(|out| out.withdraw(Withdrawn::ViewerLeft)) {
-            self.effects.push(Effect::Withdraw { sess, setup, if_unsent: false });
+            self.effects.push(Effect::CancelSetup { session: sess, setup, if_unsent: false });
         }
     }
 
@@ -83,7 +83,7 @@
         self.probes.insert(probe, node);
         self.hands.tally.probes += 1;
         self.timers.at(self.now + self.probe_timeout, Timer::Probe(probe));
-        self.effects.push(Effect::Probe { probe, node });
+        self.effects.push(Effect::SendProbe { probe, node });
     }
 
     fn set_timer(&mut self, ticket: TimerId, after: Span) {
@@ -93,7 +93,7 @@
     fn reconnect_viewer(&mut self, sess: SessionId) {
         // It is over once the shell tells so.
         if self.hands.get(sess).is_some_and(|hand| hand.plays_at.is_some()) {
-            self.effects.push(Effect::SendBack { sess });
+            self.effects.push(Effect::ReconnectViewer { session: sess });
         }
     }
 
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -12,22 +12,24 @@
 
 use crate::answers::{Hand, Hands, Tally};
 use crate::desk::Desk;
+use crate::messages::{
+    self, BusyReason, Effect, Input, LeaseExpiry, LoadReport, NodeUpdate, SessionResponse, ViewerRequest,
+};
 use crate::notes::Notes;
 use crate::setups::{self, Withdrawn};
 use crate::timers::{Timer, Timers};
-use crate::words::{self, Answer, Effect, Input, Lapse, Load, Told, Want, Why};
 
 /// What an engine is started with.
 #[derive(Clone, Debug)]
-pub struct Start {
-    pub headend: DirectorConfig,
+pub struct EngineConfig {
+    pub director: DirectorConfig,
     /// Kept of each setup timeout for the way of the answer.
     pub answer_margin: Span,
     pub probe_timeout: Span,
     /// Sessions in hand at once, set-ups included.
-    pub most_sessions: usize,
+    pub max_sessions: usize,
     /// The fair door, if there is one.
-    pub door: Option<Terms>,
+    pub admission: Option<Terms>,
 }
 
 /// Titles that nodes were found not to hold: so many at most, each believed for so many seconds.
@@ -38,7 +40,7 @@
 
 pub struct Engine {
     director: Director,
-    start: Start,
+    start: EngineConfig,
     roster: Roster,
     /// Nodes that the last numbered events told as ready.
     ready: BTreeSet<NodeId>,
@@ -55,23 +57,23 @@
     drained: bool,
     turns: Vec<usize>,
     turns_of: usize,
-    turns_lapse: Option<Lapse>,
+    turns_lapse: Option<LeaseExpiry>,
     repeats_span: Span,
-    repeats_lapse: Option<Lapse>,
-    seen: Vec<Seen>,
+    repeats_lapse: Option<LeaseExpiry>,
+    seen: Vec<SetupResult>,
 }
 
 /// What came of a SETUP at a node: it started, or how it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct SetupResult {
     pub node: NodeId,
-    pub ended: Option<AttemptOutcome>,
+    pub failure: Option<AttemptOutcome>,
 }
 
 /// One piece of news for the module, in its words.
 enum News {
     List,
-    Told(bool, Vec<Told>),
+    Told(bool, Vec<NodeUpdate>),
     UnderWay(SessionId, SessionRequest, NodeId),
     WentOn(NodeId),
     Turns(Vec<usize>, usize),
@@ -83,18 +85,18 @@
     Ended(SessionId, SetupNumber, NodeId, AttemptOutcome, bool),
     Stays(SessionId, ashglade::ids::Rung),
     Delivered(NodeId, f64),
-    Load(NodeId, Load),
+    Load(NodeId, LoadReport),
     Probed(NodeId, bool),
     Woke(ashglade::ids::TimerId),
 }
 
 impl Engine {
-    pub fn start(start: Start, now: Instant) -> Engine {
+    pub fn new(start: EngineConfig, now: Instant) -> Engine {
         let mut timers = Timers::default();
         timers.at(now + Span::from_secs(NOTES_EVERY), Timer::Notes);
         Engine {
-            director: Director::new(&start.headend, now),
-            door: start.door.clone().map(|terms| Door::new(terms, now)),
+            director: Director::new(&start.director, now),
+            door: start.admission.clone().map(|terms| Door::new(terms, now)),
             start,
             roster: Roster::default(),
             ready: BTreeSet::new(),
@@ -117,12 +119,12 @@
     }
 
     /// What came of SETUPs in the last round, for the other directors.
-    pub fn seen(&self) -> &[Seen] {
+    pub fn setup_results(&self) -> &[SetupResult] {
         &self.seen
     }
 
     /// When the next round is due if nothing comes in before.
-    pub fn next_due(&self) -> Option<Instant> {
+    pub fn next_deadline(&self) -> Option<Instant> {
         self.timers.next()
     }
 
@@ -130,11 +132,11 @@
         &self.hands.tally
     }
 
-    pub fn in_hand(&self) -> usize {
+    pub fn session_count(&self) -> usize {
         self.hands.len()
     }
 
-    pub fn roster(&self) -> &Roster {
+    pub fn membership(&self) -> &Roster {
         &self.roster
     }
 
@@ -175,11 +177,11 @@
     /// Rights whose lease is over are not used in this round, whoever has or hasn't said so.
     fn lapse(&mut self, now: Instant, news: &mut Vec<News>) {
         if let Some(lapse) = self.turns_lapse.take_if(|lapse| lapse.at <= now) {
-            self.turns.truncate(lapse.kept);
+            self.turns.truncate(lapse.retained);
             news.push(News::Turns(self.turns.clone(), self.turns_of));
         }
         if let Some(lapse) = self.repeats_lapse.take_if(|lapse| lapse.at <= now) {
-            news.push(News::Repeats(lapse.kept, self.repeats_span));
+            news.push(News::Repeats(lapse.retained, self.repeats_span));
         }
     }
 
@@ -196,9 +198,9 @@
                     news.push(News::Asked(sess, viewing(want, patience)));
                 }
                 Verdict::Away { sess, retry_after, why } => {
-                    let answer = Answer::Busy { retry_after, why: Why::Door(why) };
+                    let answer = SessionResponse::Busy { retry_after, why: BusyReason::Door(why) };
                     if self.hands.answer(sess, &answer) {
-                        effects.push(Effect::Answer { sess, answer });
+                        effects.push(Effect::Respond { session: sess, response: answer });
                     }
                 }
             }
@@ -209,11 +211,11 @@
     fn came_out(&mut self, now: Instant, effects: &[Effect]) {
         let Some(door) = &mut self.door else { return };
         for effect in effects {
-            if let Effect::Answer { sess, answer } = effect {
+            if let Effect::Respond { session: sess, response: answer } = effect {
                 let how = match answer {
-                    Answer::Plays { .. } => Came::Plays,
-                    Answer::Busy { .. } => Came::Busy,
-                    Answer::TornDown => Came::Other,
+                    SessionResponse::Plays { .. } => Came::Plays,
+                    SessionResponse::Busy { .. } => Came::Busy,
+                    SessionResponse::TornDown => Came::Other,
                 };
                 door.done(*sess, how, now);
             }
@@ -228,19 +230,19 @@
     }
 
     /// The door's own counters, if there is one.
-    pub fn door(&self) -> Option<&Door> {
+    pub fn admission(&self) -> Option<&Door> {
         self.door.as_ref()
     }
 
     fn take(&mut self, now: Instant, input: Input, news: &mut Vec<News>, effects: &mut Vec<Effect>) {
         match input {
-            Input::List(list) => self.list(list, news, effects),
-            Input::Told { whole, nodes } => {
+            Input::DiscoverySnapshot(list) => self.list(list, news, effects),
+            Input::DiscoveryUpdate { full: whole, nodes } => {
                 if whole {
                     self.ready.clear();
                 }
                 for told in &nodes {
-                    if matches!(told.standing, words::Standing::Ready(_)) {
+                    if matches!(told.status, messages::NodeStatus::Ready(_)) {
                         self.ready.insert(told.node);
                     } else {
                         self.ready.remove(&told.node);
@@ -251,25 +253,29 @@
                 self.recall(|node| ready.contains(&node), effects);
                 self.ready = ready;
             }
-            Input::UnderWay { sess, want, node } => {
-                if self.hands.len() < self.start.most_sessions {
+            Input::SessionHandedOver { session: sess, request: want, node } => {
+                if self.hands.len() < self.start.max_sessions {
                     let answered = true;
                     let hand = Hand { answered, setups: 1, plays_at: Some(node), ..self.hand(now, &want) };
                     self.hands.insert(sess, hand);
                     news.push(News::UnderWay(sess, viewing(want, Span::ZERO), node));
                 }
             }
-            Input::WentOn { node } => news.push(News::WentOn(node)),
-            Input::Delivered { node, share } => news.push(News::Delivered(node, share)),
-            Input::Asked { sess, want } => self.asked(now, sess, want, news, effects),
-            Input::Left { sess } => self.left(now, sess, news, effects),
-            Input::Written { sess, setup } => {
+            Input::NodeKeptRunning { node } => news.push(News::WentOn(node)),
+            Input::NodeDelivery { node, share } => news.push(News::Delivered(node, share)),
+            Input::SessionRequested { session: sess, request: want } => {
+                self.asked(now, sess, want, news, effects)
+            }
+            Input::ViewerLeft { session: sess } => self.left(now, sess, news, effects),
+            Input::SetupWritten { session: sess, setup } => {
                 if let Some(out) = self.out_mut(sess, setup) {
                     out.written = true;
                 }
             }
-            Input::Started { sess, setup, load } => self.started(sess, setup, load, news, effects),
-            Input::Ended { sess, setup, how, load } => {
+            Input::SetupAccepted { session: sess, setup, load } => {
+                self.started(sess, setup, load, news, effects)
+            }
+            Input::SetupFailed { session: sess, setup, outcome: how, load } => {
                 let Some(out) = self.out_mut(sess, setup) else { return };
                 let (node, how) = (out.node, out.ending(how));
                 if let Some(load) = load {
@@ -277,7 +283,7 @@
                 }
                 self.ended(sess, setup, node, how, news);
             }
-            Input::Missing { sess, setup, load } => {
+            Input::TitleMissing { session: sess, setup, load } => {
                 let Some(node) = self.out_mut(sess, setup).map(|out| out.node) else { return };
                 if let Some(title) = self.hands.get(sess).map(|hand| hand.title) {
                     self.missing.told(node, title, now);
@@ -286,7 +292,7 @@
                 news.extend(load.map(|load| News::Load(node, load)));
                 self.not_held(sess, setup, node, news);
             }
-            Input::Over { sess, how } => {
+            Input::SessionEnded { session: sess, outcome: how } => {
                 let Some((node, setups)) = self.hands.get(sess).and_then(|h| Some((h.plays_at?, h.setups)))
                 else {
                     return;
@@ -295,37 +301,37 @@
                 self.hands.remove(sess);
                 news.push(News::Ended(sess, SetupNumber(setups.saturating_sub(1)), node, how, true));
             }
-            Input::Stays { sess, rung } => {
+            Input::RungUnchanged { session: sess, rung } => {
                 if let Some(hand) = self.hands.get_mut(sess) {
                     hand.rung = rung;
                     news.push(News::Stays(sess, rung));
                 }
             }
-            Input::Flow { sess, share } => {
+            Input::SessionDelivery { session: sess, share } => {
                 if let Some(hand) = self.hands.get(sess)
                     && let Some(node) = hand.plays_at
                 {
-                    let scale = self.start.headend.groups.get(hand.group.0).map_or(1.0, |g| g.rate_scale);
-                    let rung = self.start.headend.ladder.get(usize::from(hand.rung.0));
+                    let scale = self.start.director.groups.get(hand.group.0).map_or(1.0, |g| g.rate_scale);
+                    let rung = self.start.director.ladder.get(usize::from(hand.rung.0));
                     self.notes.add(node, rung.map_or(0.0, |&(kb, _)| kb) * scale, share);
                 }
             }
-            Input::Load { node, load } => news.push(News::Load(node, load)),
-            Input::Probed { probe, load } => {
+            Input::NodeLoad { node, load } => news.push(News::Load(node, load)),
+            Input::ProbeResult { probe, load } => {
                 if let Some(node) = self.probes.remove(&probe) {
                     news.extend(load.map(|load| News::Load(node, load)));
                     news.push(News::Probed(node, load.is_some()));
                 }
             }
-            Input::Turns { ours, of, lapse } => {
+            Input::SlowStartTurns { owned: ours, total: of, lease_expiry: lapse } => {
                 (self.turns, self.turns_of, self.turns_lapse) = (ours.clone(), of, lapse);
                 news.push(News::Turns(ours, of));
             }
-            Input::Repeats { most, span, lapse } => {
+            Input::RetryLimitPerNode { limit: most, window: span, lease_expiry: lapse } => {
                 (self.repeats_span, self.repeats_lapse) = (span, lapse);
                 news.push(News::Repeats(most, span));
             }
-            Input::Doubted { nodes } => news.push(News::Doubted(nodes)),
+            Input::SuspectedNodes { nodes } => news.push(News::Doubted(nodes)),
             Input::Drain => self.draining = true,
         }
     }
@@ -356,7 +362,7 @@
             Err(refusal) => Some(refusal.to_string()),
         };
         let generation = self.roster.list().map_or(0, |list| list.generation);
-        effects.push(Effect::Listed { generation, refused });
+        effects.push(Effect::DiscoveryResult { generation, rejection: refused });
     }
 
     /// Rule 3: what waits for a connection to a node that now drains or is gone must not be written later, when
@@ -369,7 +375,7 @@
                 && out.withdrawn.is_none()
                 && out.withdraw(Withdrawn::Recalled)
             {
-                effects.push(Effect::Withdraw { sess, setup: out.setup, if_unsent: true });
+                effects.push(Effect::CancelSetup { session: sess, setup: out.setup, if_unsent: true });
             }
         }
     }
@@ -378,28 +384,31 @@
         &mut self,
         now: Instant,
         sess: SessionId,
-        want: Want,
+        want: ViewerRequest,
         news: &mut Vec<News>,
         effects: &mut Vec<Effect>,
     ) {
         self.hands.tally.asked += 1;
-        let full = self.hands.len() >= self.start.most_sessions;
+        let full = self.hands.len() >= self.start.max_sessions;
         if full || self.draining {
             self.hands.tally.over_bound += u64::from(full);
             self.hands.tally.draining += u64::from(self.draining);
             self.hands.tally.busy += 1;
-            let why = if full { Why::TooManySessions } else { Why::Draining };
-            let retry_after = self.start.headend.max_retry_after;
-            effects.push(Effect::Answer { sess, answer: Answer::Busy { retry_after, why } });
+            let why = if full { BusyReason::TooManySessions } else { BusyReason::Draining };
+            let retry_after = self.start.director.max_retry_after;
+            effects.push(Effect::Respond {
+                session: sess,
+                response: SessionResponse::Busy { retry_after, why },
+            });
             return;
         }
         let patience = want.setup_timeout - self.start.answer_margin;
         let hand = self.hand(now, &want);
         self.timers.at(hand.answer_by, Timer::Answer(sess));
-        let terms = self.start.headend.groups.get(want.group.0);
+        let terms = self.start.director.groups.get(want.group.0);
         let hand = match (&mut self.door, terms) {
             (Some(door), Some(terms)) => {
-                let Want { group, tenant, client, setup_timeout, .. } = want;
+                let ViewerRequest { group, tenant, client, setup_timeout, .. } = want;
                 let start_target = terms.start_target;
                 door.offer(Request { sess, group, tenant, client, start_target, setup_timeout }, now);
                 Hand { at_door: Some(want), ..hand }
@@ -412,7 +421,7 @@
         self.hands.insert(sess, hand);
     }
 
-    fn hand(&self, now: Instant, want: &Want) -> Hand {
+    fn hand(&self, now: Instant, want: &ViewerRequest) -> Hand {
         Hand {
             group: want.group,
             title: want.title,
@@ -424,7 +433,12 @@
             setups: 0,
             out: None,
             plays_at: None,
-            rung: self.start.headend.groups.get(want.group.0).map_or_else(Default::default, |g| g.floor_rung),
+            rung: self
+                .start
+                .director
+                .groups
+                .get(want.group.0)
+                .map_or_else(Default::default, |g| g.floor_rung),
         }
     }
 
@@ -447,7 +461,7 @@
         let (unanswered, setups) = (!hand.answered, hand.setups);
         news.push(News::Left(sess));
         if let Some(node) = hand.plays_at {
-            effects.push(Effect::Release { sess });
+            effects.push(Effect::ReleaseSession { session: sess });
             news.push(News::Ended(
                 sess,
                 SetupNumber(setups.saturating_sub(1)),
@@ -466,14 +480,14 @@
         &mut self,
         sess: SessionId,
         setup: SetupNumber,
-        load: Option<Load>,
+        load: Option<LoadReport>,
         news: &mut Vec<News>,
         effects: &mut Vec<Effect>,
     ) {
         let Some(out) = self.out_mut(sess, setup) else {
             // Its ending was told by ourselves: nobody waits for it.
             self.hands.tally.too_late += 1;
-            effects.push(Effect::Release { sess });
+            effects.push(Effect::ReleaseSession { session: sess });
             return;
         };
         let (node, start) = (out.node, out.started());
@@ -483,7 +497,7 @@
         match start {
             setups::Start::TooLate(how) => {
                 self.hands.tally.too_late += 1;
-                effects.push(Effect::Release { sess });
+                effects.push(Effect::ReleaseSession { session: sess });
                 self.ended(sess, setup, node, how, news);
             }
             setups::Start::Plays => {
@@ -492,14 +506,14 @@
                 self.missing.forget(node, hand.title);
                 (hand.out, hand.plays_at) = (None, Some(node));
                 self.hands.tally.started += 1;
-                self.seen.push(Seen { node, ended: None });
+                self.seen.push(SetupResult { node, failure: None });
                 news.push(News::Started(sess, setup, node));
-                let answer = Answer::Plays { rung };
+                let answer = SessionResponse::Plays { rung };
                 if self.hands.answer(sess, &answer) {
-                    effects.push(Effect::Answer { sess, answer });
+                    effects.push(Effect::Respond { session: sess, response: answer });
                 } else {
                     // The guard has answered already, or the viewer is gone.
-                    effects.push(Effect::Release { sess });
+                    effects.push(Effect::ReleaseSession { session: sess });
                     news.push(News::Left(sess));
                     news.push(News::Ended(sess, setup, node, AttemptOutcome::Cancelled, true));
                     self.hands.remove(sess);
@@ -533,7 +547,7 @@
             AttemptOutcome::Cancelled | AttemptOutcome::Played => 6,
         };
         self.hands.tally.endings[kind] += 1;
-        self.seen.push(Seen { node, ended: Some(how) });
+        self.seen.push(SetupResult { node, failure: Some(how) });
         news.push(News::Ended(sess, setup, node, how, over));
     }
 
@@ -554,7 +568,7 @@
             Timer::Setup(sess, setup) => {
                 let Some(out) = self.out_mut(sess, setup) else { return };
                 if out.withdraw(Withdrawn::OutOfTime) {
-                    effects.push(Effect::Withdraw { sess, setup, if_unsent: false });
+                    effects.push(Effect::CancelSetup { session: sess, setup, if_unsent: false });
                 }
                 // The shell tells in a moment what was written; it is not waited for beyond a part of the
                 // margin that the answer has left.
@@ -581,10 +595,14 @@
                     if let Some(out) = out
                         && out.withdraw(Withdrawn::ViewerLeft)
                     {
-                        effects.push(Effect::Withdraw { sess, setup: out.setup, if_unsent: false });
+                        effects.push(Effect::CancelSetup {
+                            session: sess,
+                            setup: out.setup,
+                            if_unsent: false,
+                        });
                     }
-                    if self.hands.answer(sess, &Answer::TornDown) {
-                        effects.push(Effect::Answer { sess, answer: Answer::TornDown });
+                    if self.hands.answer(sess, &SessionResponse::TornDown) {
+                        effects.push(Effect::Respond { session: sess, response: SessionResponse::TornDown });
                     }
                 }
             }
@@ -607,8 +625,8 @@
     }
 }
 
-fn viewing(want: Want, patience: Span) -> SessionRequest {
-    let Want { group, title, top, home, copies, .. } = want;
+fn viewing(want: ViewerRequest, patience: Span) -> SessionRequest {
+    let ViewerRequest { group, title, top_rung: top, first_cell: home, cell_count: copies, .. } = want;
     SessionRequest {
         group,
         title,
@@ -641,10 +659,10 @@
                 round.begin_list_update();
             }
             for told in nodes {
-                match told.standing {
-                    words::Standing::Ready(place) => round.node_ready(told.node, place),
-                    words::Standing::Draining => round.node_draining(told.node),
-                    words::Standing::Gone => round.node_removed(told.node),
+                match told.status {
+                    messages::NodeStatus::Ready(place) => round.node_ready(told.node, place),
+                    messages::NodeStatus::Draining => round.node_draining(told.node),
+                    messages::NodeStatus::Gone => round.node_removed(told.node),
                 }
             }
             round.finish_list();
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -15,16 +15,19 @@
 pub mod answers;
 mod desk;
 mod engine;
+pub mod messages;
 pub mod notes;
 pub mod record;
 pub mod setups;
 pub mod timers;
-pub mod words;
 
 pub use answers::Tally;
-pub use ashglade_admission::{Terms as DoorTerms, Turned, View as DoorView};
-pub use engine::{Engine, Seen, Start};
-pub use words::{Answer, Effect, Input, Lapse, Load, Standing, Told, Want, Why};
+pub use ashglade_admission::{Terms as AdmissionConfig, Turned, View as AdmissionStatus};
+pub use engine::{Engine, EngineConfig, SetupResult};
+pub use messages::{
+    BusyReason, Effect, Input, LeaseExpiry, LoadReport, NodeStatus, NodeUpdate, SessionResponse,
+    ViewerRequest,
+};
 
 #[cfg(test)]
 mod tests;
--- a/crates/engine/src/words.rs
+++ b/crates/engine/src/messages.rs
@@ -9,14 +9,17 @@
 
 /// What a viewer asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Want {
+pub struct ViewerRequest {
     pub group: GroupId,
     pub title: TitleId,
     /// The highest rung that the viewer can use.
-    pub top: Rung,
+    #[serde(rename = "top")]
+    pub top_rung: Rung,
     /// First of the cells in a row that hold the title, and how many.
-    pub home: CellId,
-    pub copies: u16,
+    #[serde(rename = "home")]
+    pub first_cell: CellId,
+    #[serde(rename = "copies")]
+    pub cell_count: u16,
     /// From now, how long until the viewer gives up.
     pub setup_timeout: Span,
     /// By its place among the tenants of the settings; 0 for the others.
@@ -28,7 +31,7 @@
 
 /// What a node tells of its load: link, uplink, streams, each where told.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Load {
+pub struct LoadReport {
     pub link: Option<f64>,
     pub uplink: Option<f64>,
     pub streams: Option<f64>,
@@ -36,13 +39,14 @@
 
 /// A media node as a numbered event tells of it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct NodeUpdate {
     pub node: NodeId,
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub status: NodeStatus,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum NodeStatus {
     Ready(NodeInfo),
     Draining,
     /// What is held of it may go; it may come back, as a new one.
@@ -52,102 +56,127 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Input {
     /// A whole box list, as it was read.
-    List(List),
+    #[serde(rename = "List")]
+    DiscoverySnapshot(List),
     /// What a numbered event tells of nodes: all of them, or those that changed. It is in force as it is told.
-    Told {
-        whole: bool,
-        nodes: Vec<Told>,
+    #[serde(rename = "Told")]
+    DiscoveryUpdate {
+        #[serde(rename = "whole")]
+        full: bool,
+        nodes: Vec<NodeUpdate>,
     },
     /// A session that plays already is handed over; nobody is owed an answer. The node may be unknown here.
-    UnderWay {
-        sess: SessionId,
-        want: Want,
+    #[serde(rename = "UnderWay")]
+    SessionHandedOver {
+        #[serde(rename = "sess")]
+        session: SessionId,
+        #[serde(rename = "want")]
+        request: ViewerRequest,
         node: NodeId,
     },
     /// A viewer asks for a session. `sess` is new.
-    Asked {
-        sess: SessionId,
-        want: Want,
+    #[serde(rename = "Asked")]
+    SessionRequested {
+        #[serde(rename = "sess")]
+        session: SessionId,
+        #[serde(rename = "want")]
+        request: ViewerRequest,
     },
     /// The viewer gave up, ended the session or was lost.
-    Left {
-        sess: SessionId,
+    #[serde(rename = "Left")]
+    ViewerLeft {
+        #[serde(rename = "sess")]
+        session: SessionId,
     },
     /// From here on a SETUP may have run: its first byte is about to be written.
-    Written {
-        sess: SessionId,
+    #[serde(rename = "Written")]
+    SetupWritten {
+        #[serde(rename = "sess")]
+        session: SessionId,
         setup: SetupNumber,
     },
     /// The node accepted the SETUP.
-    Started {
-        sess: SessionId,
+    #[serde(rename = "Started")]
+    SetupAccepted {
+        #[serde(rename = "sess")]
+        session: SessionId,
         setup: SetupNumber,
-        load: Option<Load>,
+        load: Option<LoadReport>,
     },
-    /// The SETUP came to nothing. Told exactly once for each SETUP that did not start.
-    Ended {
-        sess: SessionId,
+    /// The SETUP came to nothing. NodeUpdate exactly once for each SETUP that did not start.
+    #[serde(rename = "Ended")]
+    SetupFailed {
+        #[serde(rename = "sess")]
+        session: SessionId,
         setup: SetupNumber,
-        how: AttemptOutcome,
-        load: Option<Load>,
+        #[serde(rename = "how")]
+        outcome: AttemptOutcome,
+        load: Option<LoadReport>,
     },
-    /// The node doesn't hold the title, and set nothing up. Told in place of an ending.
-    Missing {
-        sess: SessionId,
+    /// The node doesn't hold the title, and set nothing up. NodeUpdate in place of an ending.
+    #[serde(rename = "Missing")]
+    TitleMissing {
+        #[serde(rename = "sess")]
+        session: SessionId,
         setup: SetupNumber,
-        load: Option<Load>,
+        load: Option<LoadReport>,
     },
     /// A session that played is over at its node.
-    Over {
-        sess: SessionId,
-        how: AttemptOutcome,
+    #[serde(rename = "Over")]
+    SessionEnded {
+        #[serde(rename = "sess")]
+        session: SessionId,
+        #[serde(rename = "how")]
+        outcome: AttemptOutcome,
     },
     /// The rung in force at the node, where a change of rung did not come about.
-    Stays {
-        sess: SessionId,
+    #[serde(rename = "Stays")]
+    RungUnchanged {
+        #[serde(rename = "sess")]
+        session: SessionId,
         rung: Rung,
     },
     /// The share of what was due that a playing session got since the last word of it.
-    Flow {
-        sess: SessionId,
+    #[serde(rename = "Flow")]
+    SessionDelivery {
+        #[serde(rename = "sess")]
+        session: SessionId,
         share: f64,
     },
     /// What failed at this node was not its end: its process is shown to be the one that it was.
-    WentOn {
-        node: NodeId,
-    },
+    #[serde(rename = "WentOn")]
+    NodeKeptRunning { node: NodeId },
     /// The share of their rates that sessions at this node get, as the node itself tells it.
-    Delivered {
-        node: NodeId,
-        share: f64,
-    },
-    Load {
-        node: NodeId,
-        load: Load,
-    },
+    #[serde(rename = "Delivered")]
+    NodeDelivery { node: NodeId, share: f64 },
+    #[serde(rename = "Load")]
+    NodeLoad { node: NodeId, load: LoadReport },
     /// A probe's answer, or none.
-    Probed {
-        probe: u64,
-        load: Option<Load>,
-    },
+    #[serde(rename = "Probed")]
+    ProbeResult { probe: u64, load: Option<LoadReport> },
     /// Which turns at cold nodes are this director's, of so many in all.
-    Turns {
-        ours: Vec<usize>,
-        of: usize,
-        #[serde(default, skip_serializing_if = "Option::is_none")]
-        lapse: Option<Lapse>,
+    #[serde(rename = "Turns")]
+    SlowStartTurns {
+        #[serde(rename = "ours")]
+        owned: Vec<usize>,
+        #[serde(rename = "of")]
+        total: usize,
+        #[serde(rename = "lapse", default, skip_serializing_if = "Option::is_none")]
+        lease_expiry: Option<LeaseExpiry>,
     },
     /// So many further SETUPs may go to one node within the span: this director's part of the fleet's bound.
-    Repeats {
-        most: usize,
-        span: Span,
-        #[serde(default, skip_serializing_if = "Option::is_none")]
-        lapse: Option<Lapse>,
+    #[serde(rename = "Repeats")]
+    RetryLimitPerNode {
+        #[serde(rename = "most")]
+        limit: usize,
+        #[serde(rename = "span")]
+        window: Span,
+        #[serde(rename = "lapse", default, skip_serializing_if = "Option::is_none")]
+        lease_expiry: Option<LeaseExpiry>,
     },
     /// Nodes that are tried last, by what other directors found.
-    Doubted {
-        nodes: Vec<NodeId>,
-    },
+    #[serde(rename = "Doubted")]
+    SuspectedNodes { nodes: Vec<NodeId> },
     /// Takes nothing new from here on.
     Drain,
 }
@@ -155,14 +184,15 @@
 /// When a lease of what is shared is over, and how many of it are left then. A director that stood still must not go on
 /// by what it held before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Lapse {
+pub struct LeaseExpiry {
     pub at: Instant,
-    pub kept: usize,
+    #[serde(rename = "kept")]
+    pub retained: usize,
 }
 
 /// Why a request is busy-replied.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Why {
+pub enum BusyReason {
     /// The module found no room for it within its attempts and budget.
     #[default]
     NoRoom,
@@ -175,14 +205,14 @@
 
 /// The one answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum SessionResponse {
     Plays {
         rung: Rung,
     },
     Busy {
         retry_after: Option<Span>,
         #[serde(default)]
-        why: Why,
+        why: BusyReason,
     },
     TornDown,
 }
@@ -190,44 +220,58 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Effect {
     /// Send this SETUP to the node and tell how it ended, by `until` or when it is withdrawn.
-    Setup {
-        sess: SessionId,
+    #[serde(rename = "Setup")]
+    SendSetup {
+        #[serde(rename = "sess")]
+        session: SessionId,
         setup: SetupNumber,
         node: NodeId,
         rung: Rung,
-        until: Instant,
+        #[serde(rename = "until")]
+        deadline: Instant,
     },
     /// Give the SETUP up and tell how it ended; where `if_unsent`, only if not a byte of it was written.
-    Withdraw {
-        sess: SessionId,
+    #[serde(rename = "Withdraw")]
+    CancelSetup {
+        #[serde(rename = "sess")]
+        session: SessionId,
         setup: SetupNumber,
         if_unsent: bool,
     },
-    Answer {
-        sess: SessionId,
-        answer: Answer,
+    #[serde(rename = "Answer")]
+    Respond {
+        #[serde(rename = "sess")]
+        session: SessionId,
+        #[serde(rename = "answer")]
+        response: SessionResponse,
     },
     /// A playing session changes its rung.
-    Rung {
-        sess: SessionId,
+    #[serde(rename = "Rung")]
+    ChangeRung {
+        #[serde(rename = "sess")]
+        session: SessionId,
         rung: Rung,
     },
     /// Tear the session down at its node, if it is there; nobody holds it here any longer.
-    Release {
-        sess: SessionId,
+    #[serde(rename = "Release")]
+    ReleaseSession {
+        #[serde(rename = "sess")]
+        session: SessionId,
     },
     /// A playing session is sent back: over here and at its node, and its viewer comes again.
-    SendBack {
-        sess: SessionId,
-    },
-    Probe {
-        probe: u64,
-        node: NodeId,
+    #[serde(rename = "SendBack")]
+    ReconnectViewer {
+        #[serde(rename = "sess")]
+        session: SessionId,
     },
+    #[serde(rename = "Probe")]
+    SendProbe { probe: u64, node: NodeId },
     /// A list was taken, with the generation now in force, or left out and why.
-    Listed {
+    #[serde(rename = "Listed")]
+    DiscoveryResult {
         generation: u64,
-        refused: Option<String>,
+        #[serde(rename = "refused")]
+        rejection: Option<String>,
     },
     /// Nothing is in hand any longer, and nothing new is taken.
     Drained,
--- a/crates/engine/src/record.rs
+++ b/crates/engine/src/record.rs
@@ -4,11 +4,11 @@
 use ashglade::time::Instant;
 use serde::{Deserialize, Serialize};
 
-use crate::engine::{Engine, Start};
-use crate::words::{Effect, Input};
+use crate::engine::{Engine, EngineConfig};
+use crate::messages::{Effect, Input};
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct RecordedRound {
     pub at: Instant,
     #[serde(rename = "in")]
     pub inputs: Vec<Input>,
@@ -18,12 +18,12 @@
 
 /// The first line of a record: when the engine started.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Head {
+pub struct RecordHeader {
     pub started: Instant,
 }
 
 #[derive(Debug, thiserror::Error)]
-pub enum Trouble {
+pub enum ReplayError {
     #[error("line {line}: {what}")]
     Malformed { line: usize, what: String },
     #[error("line {line}: recorded {recorded}, now {now}")]
@@ -32,17 +32,18 @@
 
 /// Plays a record again; the number of rounds and effects that came out the same. A last line that was cut short,
 /// as by a kill, is passed over.
-pub fn replay(start: Start, text: &str) -> Result<(usize, usize), Trouble> {
+pub fn replay(start: EngineConfig, text: &str) -> Result<(usize, usize), ReplayError> {
     let mut lines = text.split_inclusive('\n').enumerate();
-    let bad = |line: usize, e: serde_json::Error| Trouble::Malformed { line: line + 1, what: e.to_string() };
+    let bad =
+        |line: usize, e: serde_json::Error| ReplayError::Malformed { line: line + 1, what: e.to_string() };
     let Some((_, first)) = lines.next() else {
-        return Err(Trouble::Malformed { line: 1, what: "the record is empty".into() });
+        return Err(ReplayError::Malformed { line: 1, what: "the record is empty".into() });
     };
-    let head: Head = serde_json::from_str(first).map_err(|e| bad(0, e))?;
-    let mut engine = Engine::start(start, head.started);
+    let head: RecordHeader = serde_json::from_str(first).map_err(|e| bad(0, e))?;
+    let mut engine = Engine::new(start, head.started);
     let (mut rounds, mut effects) = (0, 0);
     for (i, text) in lines {
-        let line: Line = match serde_json::from_str(text) {
+        let line: RecordedRound = match serde_json::from_str(text) {
             Ok(line) => line,
             Err(_) if !text.ends_with('\n') => break,
             Err(e) => return Err(bad(i, e)),
@@ -50,7 +51,7 @@
         let now = engine.round(line.at, line.inputs);
         let text = |effects: &[Effect]| serde_json::to_string(effects).unwrap_or_default();
         if text(&now) != text(&line.effects) {
-            return Err(Trouble::Differs { line: i + 1, recorded: text(&line.effects), now: text(&now) });
+            return Err(ReplayError::Differs { line: i + 1, recorded: text(&line.effects), now: text(&now) });
         }
         (rounds, effects) = (rounds + 1, effects + now.len());
     }
--- a/crates/engine/src/tests.rs
+++ b/crates/engine/src/tests.rs
@@ -10,7 +10,7 @@
 
 use super::*;
 
-fn start(care: RetrySafety) -> Start {
+fn start(care: RetrySafety) -> EngineConfig {
     let group = ServiceGroup {
         start_target: Span::from_secs(1.0),
         utility: 1.0,
@@ -54,7 +54,13 @@
         node_list_max_age: None,
     };
     let span = Span::from_ms;
-    Start { headend, answer_margin: span(200.0), probe_timeout: span(250.0), most_sessions: 40, door: None }
+    EngineConfig {
+        director: headend,
+        answer_margin: span(200.0),
+        probe_timeout: span(250.0),
+        max_sessions: 40,
+        admission: None,
+    }
 }
 
 fn address(n: u16) -> std::net::SocketAddr {
@@ -75,17 +81,17 @@
             standing,
         }
     };
-    Input::List(List { generation, entries: standings.iter().enumerate().map(entry).collect() })
+    Input::DiscoverySnapshot(List { generation, entries: standings.iter().enumerate().map(entry).collect() })
 }
 
-fn want() -> Want {
+fn want() -> ViewerRequest {
     let setup_timeout = Span::from_secs(3.0);
-    Want {
+    ViewerRequest {
         group: GroupId(0),
         title: TitleId(1),
-        top: Rung(1),
-        home: CellId(0),
-        copies: 4,
+        top_rung: Rung(1),
+        first_cell: CellId(0),
+        cell_count: 4,
         setup_timeout,
         tenant: 0,
         client: 1,
@@ -94,24 +100,28 @@
 
 fn print(effect: &Effect, names: &BTreeMap<NodeId, String>) -> String {
     match effect {
-        Effect::Setup { sess, setup, node, rung, until } => {
+        Effect::SendSetup { session: sess, setup, node, rung, deadline: until } => {
             format!("setup {}.{} at {} rung {} until {}", sess.0, setup.0, names[node], rung.0, until.as_ms())
         }
-        Effect::Withdraw { sess, setup, if_unsent } => {
+        Effect::CancelSetup { session: sess, setup, if_unsent } => {
             format!("withdraw {}.{}{}", sess.0, setup.0, if *if_unsent { " if unsent" } else { "" })
         }
-        Effect::Answer { sess, answer: Answer::Plays { rung } } => {
+        Effect::Respond { session: sess, response: SessionResponse::Plays { rung } } => {
             format!("{} plays at rung {}", sess.0, rung.0)
         }
-        Effect::Answer { sess, answer: Answer::Busy { retry_after, .. } } => {
+        Effect::Respond { session: sess, response: SessionResponse::Busy { retry_after, .. } } => {
             format!("{} busy, again after {:?}", sess.0, retry_after.map(Span::as_ms))
         }
-        Effect::Answer { sess, answer: Answer::TornDown } => format!("{} torn down", sess.0),
-        Effect::Rung { sess, rung } => format!("{} to rung {}", sess.0, rung.0),
-        Effect::Release { sess } => format!("release {}", sess.0),
-        Effect::SendBack { sess } => format!("send back {}", sess.0),
-        Effect::Probe { node, .. } => format!("probe {}", names[node]),
-        Effect::Listed { generation, refused } => format!("list {generation} {refused:?}"),
+        Effect::Respond { session: sess, response: SessionResponse::TornDown } => {
+            format!("{} torn down", sess.0)
+        }
+        Effect::ChangeRung { session: sess, rung } => format!("{} to rung {}", sess.0, rung.0),
+        Effect::ReleaseSession { session: sess } => format!("release {}", sess.0),
+        Effect::ReconnectViewer { session: sess } => format!("send back {}", sess.0),
+        Effect::SendProbe { node, .. } => format!("probe {}", names[node]),
+        Effect::DiscoveryResult { generation, rejection: refused } => {
+            format!("list {generation} {refused:?}")
+        }
         Effect::Drained => "drained".to_string(),
     }
 }
@@ -125,7 +135,7 @@
 
 impl Desk {
     fn open(care: RetrySafety) -> Desk {
-        let engine = Engine::start(start(care), Instant::from_ms(0.0));
+        let engine = Engine::new(start(care), Instant::from_ms(0.0));
         let names = (1..=3).map(|n| (id_of(&address(n)), format!("n{n}"))).collect();
         let mut desk = Desk { engine, names, trace: String::new() };
         desk.at(0.0, vec![list(1, &[Standing::Ready; 3])]);
@@ -143,13 +153,13 @@
 
     /// Lets time pass until `ms`, a round whenever one is due.
     fn until(&mut self, ms: f64) {
-        while let Some(due) = self.engine.next_due().filter(|due| due.as_ms() <= ms) {
+        while let Some(due) = self.engine.next_deadline().filter(|due| due.as_ms() <= ms) {
             self.at(due.as_ms(), vec![]);
         }
     }
 
     fn ask(&mut self, ms: f64, sess: u64) {
-        self.at(ms, vec![Input::Asked { sess: SessionId(sess), want: want() }]);
+        self.at(ms, vec![Input::SessionRequested { session: SessionId(sess), request: want() }]);
     }
 
     fn shows(&self, trace: Expect) {
@@ -160,15 +170,15 @@
 const S: SessionId = SessionId(1);
 
 fn written(setup: u16) -> Input {
-    Input::Written { sess: S, setup: SetupNumber(setup) }
+    Input::SetupWritten { session: S, setup: SetupNumber(setup) }
 }
 
 fn started(setup: u16) -> Input {
-    Input::Started { sess: S, setup: SetupNumber(setup), load: None }
+    Input::SetupAccepted { session: S, setup: SetupNumber(setup), load: None }
 }
 
 fn ended(setup: u16, how: AttemptOutcome) -> Input {
-    Input::Ended { sess: S, setup: SetupNumber(setup), how, load: None }
+    Input::SetupFailed { session: S, setup: SetupNumber(setup), outcome: how, load: None }
 }
 
 #[test]
@@ -178,7 +188,7 @@
     // Written and all, a 404 proves that nothing ran: the next holder is asked.
     let first = desk.engine.round(Instant::from_ms(1001.0), vec![written(0)]);
     assert!(first.is_empty());
-    desk.at(1002.0, vec![Input::Missing { sess: S, setup: SetupNumber(0), load: None }]);
+    desk.at(1002.0, vec![Input::TitleMissing { session: S, setup: SetupNumber(0), load: None }]);
     desk.at(1003.0, vec![written(1), started(1)]);
     // Whoever comes next and would go to the one without it doesn't, at once and without a SETUP there.
     for sess in 2..6 {
@@ -190,7 +200,7 @@
     desk.trace += &format!("{missing} answered as missing, {spared} spared\n");
     // It starts again, as the list tells, and may have been filled.
     let mut again = list(2, &[Standing::Ready; 3]);
-    if let Input::List(list) = &mut again {
+    if let Input::DiscoverySnapshot(list) = &mut again {
         list.entries.iter_mut().for_each(|entry| entry.place.started = Some(Instant::from_ms(1200.0)));
     }
     desk.at(1200.0, vec![again]);
@@ -238,11 +248,11 @@
 fn a_viewer_that_leaves_gets_no_answer_and_what_it_left_ends() {
     let mut desk = Desk::open(RetrySafety::Safe);
     desk.ask(1000.0, 1);
-    desk.at(1100.0, vec![written(0), Input::Left { sess: S }]);
+    desk.at(1100.0, vec![written(0), Input::ViewerLeft { session: S }]);
     desk.at(1110.0, vec![ended(0, AttemptOutcome::Cancelled)]);
     desk.ask(2000.0, 1);
-    desk.at(2100.0, vec![written(0), Input::Left { sess: S }, started(0)]);
-    desk.trace += &format!("in hand {}\n", desk.engine.in_hand());
+    desk.at(2100.0, vec![written(0), Input::ViewerLeft { session: S }, started(0)]);
+    desk.trace += &format!("in hand {}\n", desk.engine.session_count());
     desk.shows(expect![[r#"
         1000 ms: setup 1.0 at n1 rung 1 until 1500
         1100 ms: withdraw 1.0
@@ -307,7 +317,7 @@
     desk.ask(1000.0, 1);
     desk.at(1001.0, vec![written(0)]);
     // Nothing ran from here to 2.2 s; the node's answer came meanwhile, that of another session never.
-    desk.at(2200.0, vec![started(0), Input::Asked { sess: SessionId(2), want: want() }]);
+    desk.at(2200.0, vec![started(0), Input::SessionRequested { session: SessionId(2), request: want() }]);
     desk.at(6000.0, vec![]);
     desk.shows(expect![[r#"
         1000 ms: setup 1.0 at n1 rung 1 until 1500
@@ -323,7 +333,7 @@
     desk.at(1010.0, vec![written(0), started(0)]);
     desk.at(1500.0, vec![Input::Drain]);
     desk.ask(1600.0, 2);
-    desk.at(1700.0, vec![Input::Over { sess: S, how: AttemptOutcome::Lost }]);
+    desk.at(1700.0, vec![Input::SessionEnded { session: S, outcome: AttemptOutcome::Lost }]);
     desk.shows(expect![[r#"
         1000 ms: setup 1.0 at n1 rung 1 until 1500
         1010 ms: 1 plays at rung 1
@@ -335,9 +345,12 @@
 #[test]
 fn sessions_in_hand_are_bounded() {
     let mut desk = Desk::open(RetrySafety::Safe);
-    desk.at(1000.0, (1..=60).map(|n| Input::Asked { sess: SessionId(n), want: want() }).collect());
+    desk.at(
+        1000.0,
+        (1..=60).map(|n| Input::SessionRequested { session: SessionId(n), request: want() }).collect(),
+    );
     let tally = desk.engine.tally();
-    assert_eq!((desk.engine.in_hand() <= 40, tally.over_bound >= 20, tally.asked), (true, true, 60));
+    assert_eq!((desk.engine.session_count() <= 40, tally.over_bound >= 20, tally.asked), (true, true, 60));
 }
 
 /// A shell and a world that do their worst within what is allowed: endings late, twice, never, answers after the
@@ -353,22 +366,22 @@
 }
 
 /// The fair door, narrow enough that most wait.
-fn with_door(start: Start) -> Start {
-    let terms = DoorTerms {
+fn with_door(start: EngineConfig) -> EngineConfig {
+    let terms = AdmissionConfig {
         seed: 2,
         groups: vec![(1.0, 1.0)],
         tenants: vec![1.0],
         target: Span::from_secs(1.0),
-        retry_after: start.headend.max_retry_after,
+        retry_after: start.director.max_retry_after,
         most_waiting: 12,
         hands: (2.0, 1.0, 4.0),
     };
-    Start { door: Some(terms), ..start }
+    EngineConfig { admission: Some(terms), ..start }
 }
 
-fn world(seed: u64, care: RetrySafety, rounds: usize) -> (Vec<record::Line>, World) {
+fn world(seed: u64, care: RetrySafety, rounds: usize) -> (Vec<record::RecordedRound>, World) {
     let start = if seed % 2 == 1 { with_door(start(care)) } else { start(care) };
-    let mut engine = Engine::start(start, Instant::from_ms(0.0));
+    let mut engine = Engine::new(start, Instant::from_ms(0.0));
     let random = oorandom::Rand64::new(seed.into());
     let mut world =
         World { random, asked: BTreeMap::new(), out: BTreeMap::new(), playing: vec![], late: 0.0 };
@@ -379,12 +392,12 @@
         let effects = engine.round(Instant::from_ms(now), inputs.clone());
         for effect in &effects {
             match effect {
-                Effect::Setup { sess, setup, .. } => {
+                Effect::SendSetup { session: sess, setup, .. } => {
                     let before = world.out.insert(*sess, (*setup, false));
                     assert!(before.is_none(), "seed {seed}: two SETUPs out for {sess:?}");
                     assert!(!world.asked[sess].1, "seed {seed}: set up after the viewer left");
                 }
-                Effect::Answer { sess, .. } => {
+                Effect::Respond { session: sess, .. } => {
                     let entry = world.asked.get_mut(sess).expect("an answer to a request");
                     entry.0 += 1;
                     world.late = world.late.max(now - entry.2);
@@ -392,11 +405,12 @@
                 _ => {}
             }
         }
-        let line = record::Line { at: Instant::from_ms(now), inputs: std::mem::take(&mut inputs), effects };
+        let line =
+            record::RecordedRound { at: Instant::from_ms(now), inputs: std::mem::take(&mut inputs), effects };
         // Withdrawn SETUPs are told now, later or never; the engine must not ask for another before it counts
         // this one as ended, at which the shell has closed its connection.
         for effect in &line.effects {
-            if let Effect::Withdraw { sess, setup, if_unsent } = effect
+            if let Effect::CancelSetup { session: sess, setup, if_unsent } = effect
                 && let Some((out, written)) = world.out.get(sess).copied()
                 && out == *setup
                 && !(*if_unsent && written)
@@ -405,17 +419,24 @@
                 let how = if written { AttemptOutcome::Cancelled } else { AttemptOutcome::Unsent };
                 match world.random.rand_range(0..4) {
                     0 => {}
-                    1 if written => inputs.push(Input::Started { sess: *sess, setup: *setup, load: None }),
-                    _ => inputs.push(Input::Ended { sess: *sess, setup: *setup, how, load: None }),
+                    1 if written => {
+                        inputs.push(Input::SetupAccepted { session: *sess, setup: *setup, load: None })
+                    }
+                    _ => inputs.push(Input::SetupFailed {
+                        session: *sess,
+                        setup: *setup,
+                        outcome: how,
+                        load: None,
+                    }),
                 }
             }
-            if let Effect::Answer { sess, answer: Answer::Plays { .. } } = effect {
+            if let Effect::Respond { session: sess, response: SessionResponse::Plays { .. } } = effect {
                 world.playing.push(*sess);
             }
         }
         lines.push(line);
         now += [1.0, 5.0, 20.0, 60.0][world.random.rand_range(0..4) as usize];
-        if let Some(due) = engine.next_due().map(Instant::as_ms).filter(|&due| due < now) {
+        if let Some(due) = engine.next_deadline().map(Instant::as_ms).filter(|&due| due < now) {
             now = due;
         }
         // The last seconds bring nothing new, so that all that is owed must come.
@@ -433,24 +454,34 @@
             let sess = SessionId(*next);
             *next += 1;
             self.asked.insert(sess, (0, false, now));
-            inputs.push(Input::Asked { sess, want: want() });
+            inputs.push(Input::SessionRequested { session: sess, request: want() });
         }
         let out: Vec<(SessionId, SetupNumber, bool)> =
             self.out.iter().map(|(&s, &(n, w))| (s, n, w)).collect();
         for (sess, setup, was) in out {
             if !was && chance(&mut self.random, 0.5) {
                 self.out.insert(sess, (setup, true));
-                inputs.push(Input::Written { sess, setup });
+                inputs.push(Input::SetupWritten { session: sess, setup });
             } else if was && chance(&mut self.random, 0.15) {
                 self.out.remove(&sess);
                 let endings = [AttemptOutcome::Full, AttemptOutcome::Fault, AttemptOutcome::Lost];
                 match self.random.rand_range(0..5) as usize {
-                    n @ 0..3 => inputs.push(Input::Ended { sess, setup, how: endings[n], load: None }),
-                    _ => inputs.push(Input::Started { sess, setup, load: None }),
+                    n @ 0..3 => inputs.push(Input::SetupFailed {
+                        session: sess,
+                        setup,
+                        outcome: endings[n],
+                        load: None,
+                    }),
+                    _ => inputs.push(Input::SetupAccepted { session: sess, setup, load: None }),
                 }
             } else if !was && chance(&mut self.random, 0.1) {
                 self.out.remove(&sess);
-                inputs.push(Input::Ended { sess, setup, how: AttemptOutcome::Unreachable, load: None });
+                inputs.push(Input::SetupFailed {
+                    session: sess,
+                    setup,
+                    outcome: AttemptOutcome::Unreachable,
+                    load: None,
+                });
             }
         }
         if !quiet && chance(&mut self.random, 0.05) {
@@ -460,11 +491,11 @@
                 if let Some(entry) = self.asked.get_mut(&sess) {
                     entry.1 = true;
                 }
-                inputs.push(Input::Left { sess });
+                inputs.push(Input::ViewerLeft { session: sess });
                 // As the shell does: what is out is ended and told in the same breath.
                 if let Some((setup, written)) = self.out.remove(&sess) {
                     let how = if written { AttemptOutcome::Cancelled } else { AttemptOutcome::Unsent };
-                    inputs.push(Input::Ended { sess, setup, how, load: None });
+                    inputs.push(Input::SetupFailed { session: sess, setup, outcome: how, load: None });
                 }
             }
         }
@@ -480,10 +511,10 @@
             && chance(&mut self.random, 0.05)
         {
             self.playing.pop();
-            inputs.push(Input::Over { sess, how: AttemptOutcome::Lost });
+            inputs.push(Input::SessionEnded { session: sess, outcome: AttemptOutcome::Lost });
         }
         if let Some(&sess) = self.playing.first() {
-            inputs.push(Input::Flow { sess, share: self.random.rand_float() });
+            inputs.push(Input::SessionDelivery { session: sess, share: self.random.rand_float() });
         }
     }
 }
@@ -505,7 +536,7 @@
 #[test]
 fn a_record_plays_again_to_the_same_effects_and_a_changed_one_does_not() {
     let (lines, _) = world(8, RetrySafety::Safe, 600);
-    let head = record::Head { started: Instant::from_ms(0.0) };
+    let head = record::RecordHeader { started: Instant::from_ms(0.0) };
     let mut text = serde_json::to_string(&head).unwrap() + "\n";
     for line in &lines {
         text += &(serde_json::to_string(line).unwrap() + "\n");
@@ -524,21 +555,24 @@
 
 #[test]
 fn at_a_narrow_door_one_goes_in_others_wait_and_are_answered_in_time() {
-    let engine = Engine::start(with_door(start(RetrySafety::Safe)), Instant::from_ms(0.0));
+    let engine = Engine::new(with_door(start(RetrySafety::Safe)), Instant::from_ms(0.0));
     let names = (1..=3).map(|n| (id_of(&address(n)), format!("n{n}"))).collect();
     let mut desk = Desk { engine, names, trace: String::new() };
     desk.at(0.0, vec![list(1, &[Standing::Ready; 3])]);
     desk.trace.clear();
-    let ask = |n: u64| Input::Asked { sess: SessionId(n), want: Want { client: n, ..want() } };
+    let ask = |n: u64| Input::SessionRequested {
+        session: SessionId(n),
+        request: ViewerRequest { client: n, ..want() },
+    };
     // The first round of the limit lets one in.
     desk.at(1000.0, (1..=4).map(ask).collect());
     desk.at(1010.0, vec![written(0), started(0)]);
     desk.until(1020.0);
     // One of those that wait leaves; the module never hears of it.
-    desk.at(1030.0, vec![Input::Left { sess: SessionId(3) }]);
+    desk.at(1030.0, vec![Input::ViewerLeft { session: SessionId(3) }]);
     // The second hangs; the fourth waits half its start target and is told then.
     desk.until(1600.0);
-    desk.trace += &format!("in hand {}\n", desk.engine.in_hand());
+    desk.trace += &format!("in hand {}\n", desk.engine.session_count());
     desk.shows(expect![[r#"
         1000 ms: setup 1.0 at n1 rung 1 until 1500
         1010 ms: 1 plays at rung 1
@@ -556,9 +590,12 @@
 fn a_lease_that_ran_out_while_the_director_stood_still_is_not_used() {
     let traces = [2000.0, 9000.0].map(|goes_on| {
         let mut desk = Desk::open(RetrySafety::Safe);
-        let lapse = Some(Lapse { at: Instant::from_ms(5000.0), kept: 0 });
-        desk.at(1000.0, vec![Input::Repeats { most: 1, span: Span::from_secs(2.0), lapse }]);
-        desk.at(goes_on, vec![Input::Asked { sess: S, want: want() }]);
+        let lapse = Some(LeaseExpiry { at: Instant::from_ms(5000.0), retained: 0 });
+        desk.at(
+            1000.0,
+            vec![Input::RetryLimitPerNode { limit: 1, window: Span::from_secs(2.0), lease_expiry: lapse }],
+        );
+        desk.at(goes_on, vec![Input::SessionRequested { session: S, request: want() }]);
         desk.at(goes_on + 1.0, vec![written(0), ended(0, AttemptOutcome::Full)]);
         format!("goes on at {goes_on}\n{}", desk.trace)
     });
--- a/crates/lab/src/emulator/crowd.rs
+++ b/crates/lab/src/emulator/crowd.rs
@@ -1,7 +1,7 @@
 //! Viewers in simulated time: they ask, wait, give up, come back when told, watch and leave.
 
 use ashglade::ids::{Rung, SessionId, TitleId};
-use ashglade_engine::{Answer, Input, Want, Why};
+use ashglade_engine::{BusyReason, Input, SessionResponse, ViewerRequest};
 
 use super::shells::Seat;
 use super::world::{Event, World};
@@ -86,12 +86,12 @@
         }
         let timeout = self.settings.setup_timeouts[visit.group];
         let title = &self.titles[visit.title];
-        let want = Want {
+        let want = ViewerRequest {
             group: ashglade::ids::GroupId(visit.group),
             title: TitleId(title.id),
-            top: Rung(visit.top),
-            home: title.home,
-            copies: title.copies,
+            top_rung: Rung(visit.top),
+            first_cell: title.home,
+            cell_count: title.copies,
             setup_timeout: timeout,
             tenant: 0,
             client: viewer as u64,
@@ -110,7 +110,14 @@
         let sess = shell.seat(seat);
         let life = shell.life;
         self.viewers[viewer].phase = Phase::Asks { director, life, sess, at: now };
-        self.plan(self.net, Event::Reaches { director, life, input: Input::Asked { sess, want } });
+        self.plan(
+            self.net,
+            Event::Reaches {
+                director,
+                life,
+                input: Input::SessionRequested { session: sess, request: want },
+            },
+        );
         let timeout = timeout.as_ms() / 1e3;
         let patience = visit.leaves_after.unwrap_or(timeout).min(timeout);
         self.plan(patience, Event::GivesUp { viewer, again });
@@ -130,7 +137,7 @@
         self.plan(after, Event::Asks { viewer });
     }
 
-    pub(super) fn answered(&mut self, viewer: usize, again: u32, answer: Answer) {
+    pub(super) fn answered(&mut self, viewer: usize, again: u32, answer: SessionResponse) {
         let now = self.secs();
         let v = &mut self.viewers[viewer];
         let Phase::Asks { director, life, sess, at } = v.phase else { return };
@@ -140,7 +147,7 @@
         let (group, took) = (v.visit.group, now - at);
         let counts = &mut self.report.groups[group];
         match answer {
-            Answer::Plays { .. } => {
+            SessionResponse::Plays { .. } => {
                 v.phase = Phase::Plays { director, life, sess };
                 let in_time = took <= self.settings.headend.groups[group].start_target.as_ms() / 1e3;
                 counts.played += 1;
@@ -156,10 +163,10 @@
                 let left = v.left;
                 self.plan((left - took).max(0.0), Event::Ends { viewer, again });
             }
-            Answer::Busy { retry_after, why } => {
+            SessionResponse::Busy { retry_after, why } => {
                 counts.busy_replied += 1;
                 let why = match why {
-                    Why::Door(why) => format!("{why:?}"),
+                    BusyReason::Door(why) => format!("{why:?}"),
                     why => format!("{why:?}"),
                 };
                 *counts.why.entry(why).or_default() += 1;
@@ -170,7 +177,7 @@
                 let after = told.unwrap_or(v.visit.rejoin);
                 self.later(viewer, after, at);
             }
-            Answer::TornDown => {
+            SessionResponse::TornDown => {
                 counts.torn_down += 1;
                 v.told = None;
                 v.turned_to += 1;
@@ -208,7 +215,7 @@
             return;
         }
         let patient = v.visit.leaves_after.is_none();
-        self.plan(self.net, Event::Reaches { director, life, input: Input::Left { sess } });
+        self.plan(self.net, Event::Reaches { director, life, input: Input::ViewerLeft { session: sess } });
         if !patient {
             self.viewers[viewer].phase = Phase::Gone;
             return;
@@ -232,7 +239,10 @@
         let Phase::Plays { director, life, sess } = v.phase else { return };
         if v.again == again {
             v.phase = Phase::Gone;
-            self.plan(self.net, Event::Reaches { director, life, input: Input::Left { sess } });
+            self.plan(
+                self.net,
+                Event::Reaches { director, life, input: Input::ViewerLeft { session: sess } },
+            );
         }
     }
 }
--- a/crates/lab/src/emulator/nodes.rs
+++ b/crates/lab/src/emulator/nodes.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use ashglade::ids::SessionId;
-use ashglade_engine::Load;
+use ashglade_engine::LoadReport;
 use ashglade_standin::node::ColdPace;
 use ashglade_standin::{Faults, Spec};
 
@@ -18,7 +18,7 @@
     /// Counts the node's processes: what was under way in an earlier one is void.
     pub process: u32,
     pub faults: Faults,
-    pub frozen: Option<Load>,
+    pub frozen: Option<LoadReport>,
     started: f64,
     setups: VecDeque<f64>,
     /// When the last set-up in the queue will have been handled.
@@ -115,12 +115,15 @@
         }
     }
 
-    pub fn load(&self, node: usize) -> Load {
-        let Some(node) = self.all.get(node) else { return Load::default() };
+    pub fn load(&self, node: usize) -> LoadReport {
+        let Some(node) = self.all.get(node) else { return LoadReport::default() };
         let uplink = self.uplink_level(node.spec.rack);
         let streams = node.streams.len() as f64;
-        let now =
-            Load { link: Some(node.asked / Self::link(node)), uplink: Some(uplink), streams: Some(streams) };
+        let now = LoadReport {
+            link: Some(node.asked / Self::link(node)),
+            uplink: Some(uplink),
+            streams: Some(streams),
+        };
         node.frozen.unwrap_or(now)
     }
 
--- a/crates/lab/src/emulator/shells.rs
+++ b/crates/lab/src/emulator/shells.rs
@@ -4,7 +4,7 @@
 
 use ashglade::ids::{SessionId, SetupNumber};
 use ashglade::interface::AttemptOutcome;
-use ashglade_engine::{Answer, Effect, Engine, Input, Start};
+use ashglade_engine::{Effect, Engine, EngineConfig, Input, SessionResponse};
 
 use super::talk::Talker;
 use super::world::{Event, World};
@@ -27,7 +27,7 @@
 }
 
 pub struct Shell {
-    start: Start,
+    start: EngineConfig,
     pub engine: Option<Engine>,
     /// What it shares with the others, if it does.
     pub talker: Option<Talker>,
@@ -44,7 +44,7 @@
 }
 
 impl Shell {
-    pub fn new(start: Start, talker: Option<Talker>) -> Shell {
+    pub fn new(start: EngineConfig, talker: Option<Talker>) -> Shell {
         Shell {
             start,
             engine: None,
@@ -61,7 +61,7 @@
 
     pub fn up(&mut self, now: ashglade::time::Instant) {
         self.life += 1;
-        self.engine = Some(Engine::start(self.start.clone(), now));
+        self.engine = Some(Engine::new(self.start.clone(), now));
         if let Some(talker) = &mut self.talker {
             talker.up(now);
         }
@@ -93,7 +93,7 @@
         shell.up(now);
         shell.free_at = self.now;
         let life = shell.life;
-        self.reach(director as u16, life, Input::List(list));
+        self.reach(director as u16, life, Input::DiscoverySnapshot(list));
         if self.shells[director].talker.is_some() {
             self.plan(0.0, Event::Talks { director: director as u16, life });
         }
@@ -118,11 +118,15 @@
             for (&sess, seat) in &shell.seats {
                 let how = AttemptOutcome::Lost;
                 if seat.plays_at == Some(node) {
-                    lost.push((director, shell.life, Input::Over { sess, how }));
+                    lost.push((director, shell.life, Input::SessionEnded { session: sess, outcome: how }));
                 } else if let Some((setup, Some(at))) = seat.out
                     && at == node
                 {
-                    lost.push((director, shell.life, Input::Ended { sess, setup, how, load: None }));
+                    lost.push((
+                        director,
+                        shell.life,
+                        Input::SetupFailed { session: sess, setup, outcome: how, load: None },
+                    ));
                 }
             }
         }
@@ -142,15 +146,15 @@
         let broken: Vec<(SessionId, Seat)> = inputs
             .iter()
             .filter_map(|input| match input {
-                Input::Over { sess, .. } => Some((*sess, shell.seats.remove(sess)?)),
+                Input::SessionEnded { session: sess, .. } => Some((*sess, shell.seats.remove(sess)?)),
                 _ => None,
             })
             .collect();
         let effects = engine.round(now, inputs);
         if let Some(talker) = &mut shell.talker {
-            talker.saw(engine.seen(), now);
+            talker.saw(engine.setup_results(), now);
         }
-        let due = engine.next_due();
+        let due = engine.next_deadline();
         for (_, seat) in broken {
             self.plan(self.net, Event::Breaks { viewer: seat.viewer, again: seat.again });
         }
@@ -167,7 +171,7 @@
         let life = self.shells[usize::from(director)].life;
         let seats = &mut self.shells[usize::from(director)].seats;
         match effect {
-            Effect::Setup { sess, setup, node, rung, .. } => {
+            Effect::SendSetup { session: sess, setup, node, rung, .. } => {
                 let Some(seat) = seats.get_mut(&sess) else { return };
                 let (doubled, again) = (seat.out.is_some(), seat.may_have_run);
                 let node = self.node_of.get(&node).copied().filter(|&i| self.fleet.all[i].up);
@@ -185,17 +189,21 @@
                 match node {
                     Some(node) => {
                         let key = (director, sess);
-                        self.reach(director, life, Input::Written { sess, setup });
+                        self.reach(director, life, Input::SetupWritten { session: sess, setup });
                         self.plan(net, Event::Setup { key, life, setup, node, rung: rung.0 });
                     }
                     None => {
-                        let input =
-                            Input::Ended { sess, setup, how: AttemptOutcome::Unreachable, load: None };
+                        let input = Input::SetupFailed {
+                            session: sess,
+                            setup,
+                            outcome: AttemptOutcome::Unreachable,
+                            load: None,
+                        };
                         self.plan(net * 2.0, Event::Reaches { director, life, input });
                     }
                 }
             }
-            Effect::Withdraw { sess, setup, if_unsent } => {
+            Effect::CancelSetup { session: sess, setup, if_unsent } => {
                 let Some(seat) = seats.get_mut(&sess) else { return };
                 let Some((_, node)) = seat.out.filter(|&(out, _)| out == setup) else { return };
                 // What has found its node is written at once.
@@ -213,25 +221,29 @@
                     let keeps = self.fleet.all[node].faults.keeps.as_secs_f64();
                     self.plan(net + keeps, Event::Over { key: (director, sess), node });
                 }
-                self.reach(director, life, Input::Ended { sess, setup, how, load: None });
+                self.reach(
+                    director,
+                    life,
+                    Input::SetupFailed { session: sess, setup, outcome: how, load: None },
+                );
             }
-            Effect::Answer { sess, answer } => {
+            Effect::Respond { session: sess, response: answer } => {
                 let Some(seat) = seats.get_mut(&sess) else { return };
                 let (viewer, again) = (seat.viewer, seat.again);
                 seat.answered = true;
-                if !matches!(answer, Answer::Plays { .. }) {
+                if !matches!(answer, SessionResponse::Plays { .. }) {
                     end(seats, sess);
                 }
                 self.plan(net, Event::Answered { viewer, again, answer });
             }
-            Effect::Rung { sess, rung } => {
+            Effect::ChangeRung { session: sess, rung } => {
                 let Some(seat) = seats.get_mut(&sess) else { return };
                 seat.rung = rung.0;
                 if let Some(node) = seat.plays_at {
                     self.plan(net, Event::Switch { key: (director, sess), node, rung: rung.0 });
                 }
             }
-            Effect::Release { sess } | Effect::SendBack { sess } => {
+            Effect::ReleaseSession { session: sess } | Effect::ReconnectViewer { session: sess } => {
                 // What began too late is let go, and the request may still want its answer.
                 let Some(seat) = seats.get_mut(&sess) else { return };
                 let node = seat.plays_at.take().or(seat.out.take().and_then(|(_, node)| node));
@@ -242,18 +254,18 @@
                     self.plan(net, Event::Over { key: (director, sess), node });
                 }
             }
-            Effect::Probe { probe, node } => {
+            Effect::SendProbe { probe, node } => {
                 let Some(&node) = self.node_of.get(&node) else { return };
                 let at = &self.fleet.all[node];
                 if at.up && !at.faults.hang {
                     let load = Some(self.fleet.load(node));
                     self.plan(
                         net * 2.0,
-                        Event::Reaches { director, life, input: Input::Probed { probe, load } },
+                        Event::Reaches { director, life, input: Input::ProbeResult { probe, load } },
                     );
                 }
             }
-            Effect::Listed { .. } | Effect::Drained => {}
+            Effect::DiscoveryResult { .. } | Effect::Drained => {}
         }
     }
 }
@@ -271,7 +283,7 @@
 /// What came in, as the shell keeps it.
 fn noted(seats: &mut BTreeMap<SessionId, Seat>, input: &Input) {
     match *input {
-        Input::Started { sess, setup, .. } => {
+        Input::SetupAccepted { session: sess, setup, .. } => {
             if let Some(seat) = seats.get_mut(&sess)
                 && let Some((out, Some(node))) = seat.out
                 && out == setup
@@ -279,7 +291,7 @@
                 (seat.plays_at, seat.out) = (Some(node), None);
             }
         }
-        Input::Ended { sess, setup, how, .. } => {
+        Input::SetupFailed { session: sess, setup, outcome: how, .. } => {
             if let Some(seat) = seats.get_mut(&sess)
                 && seat.out.is_some_and(|(out, _)| out == setup)
             {
@@ -293,7 +305,7 @@
                 }
             }
         }
-        Input::Left { sess } => end(seats, sess),
+        Input::ViewerLeft { session: sess } => end(seats, sess),
         _ => {}
     }
 }
--- a/crates/lab/src/emulator/talk.rs
+++ b/crates/lab/src/emulator/talk.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use ashglade::time::Instant;
-use ashglade_engine::{Input, Seen};
+use ashglade_engine::{Input, SetupResult};
 use ashglade_peer_transport::codec::{Codec, Datagram};
 use ashglade_peer_transport::{LOOK, Teller};
 use ashglade_settings::Settings;
@@ -42,10 +42,10 @@
         self.state = Some((member, Teller::new(self.repeats_span)));
     }
 
-    pub fn saw(&mut self, seen: &[Seen], now: Instant) {
+    pub fn saw(&mut self, seen: &[SetupResult], now: Instant) {
         let Some((member, _)) = self.state.as_mut().filter(|_| self.shares) else { return };
         for seen in seen {
-            if let Some(verdict) = verdict(seen.ended) {
+            if let Some(verdict) = verdict(seen.failure) {
                 member.saw(seen.node.0, verdict, now);
             }
         }
--- a/crates/lab/src/emulator/world.rs
+++ b/crates/lab/src/emulator/world.rs
@@ -7,7 +7,7 @@
 use ashglade::interface::RetrySafety;
 use ashglade::time::Instant;
 use ashglade_discovery::{Entry, List, Standing};
-use ashglade_engine::{Answer, Input};
+use ashglade_engine::{Input, SessionResponse};
 use ashglade_settings::{Settings, Title};
 use ashglade_shared::Word;
 
@@ -32,7 +32,7 @@
     Answered {
         viewer: usize,
         again: u32,
-        answer: Answer,
+        answer: SessionResponse,
     },
     /// Its session, or the connection, broke.
     Breaks {
@@ -327,7 +327,7 @@
                         self.fleet.further(self.secs(), node);
                     }
                     let load = Some(self.fleet.load(node));
-                    let input = Input::Started { sess: key.1, setup, load };
+                    let input = Input::SetupAccepted { session: key.1, setup, load };
                     self.plan(self.net, Event::Reaches { director: key.0, life, input });
                 }
             }
@@ -373,20 +373,36 @@
                 return self.plan_at(at.max(self.now), Event::SetUp { key, life, setup, node, process });
             }
             Handled::Unheard => return,
-            Handled::Full => {
-                Input::Ended { sess, setup, how: ashglade::interface::AttemptOutcome::Full, load }
-            }
+            Handled::Full => Input::SetupFailed {
+                session: sess,
+                setup,
+                outcome: ashglade::interface::AttemptOutcome::Full,
+                load,
+            },
             Handled::Fault => {
                 self.report.failed_at.push(self.secs());
-                Input::Ended { sess, setup, how: ashglade::interface::AttemptOutcome::Fault, load }
-            }
-            Handled::Reset => {
-                Input::Ended { sess, setup, how: ashglade::interface::AttemptOutcome::Lost, load: None }
+                Input::SetupFailed {
+                    session: sess,
+                    setup,
+                    outcome: ashglade::interface::AttemptOutcome::Fault,
+                    load,
+                }
             }
+            Handled::Reset => Input::SetupFailed {
+                session: sess,
+                setup,
+                outcome: ashglade::interface::AttemptOutcome::Lost,
+                load: None,
+            },
             Handled::Fell => {
                 self.report.fallen += 1;
                 self.breach(format!("rule 4: node {node} was pushed over"));
-                Input::Ended { sess, setup, how: ashglade::interface::AttemptOutcome::Lost, load: None }
+                Input::SetupFailed {
+                    session: sess,
+                    setup,
+                    outcome: ashglade::interface::AttemptOutcome::Lost,
+                    load: None,
+                }
             }
         };
         self.plan(self.net, Event::Reaches { director, life, input });
@@ -452,7 +468,7 @@
                     _ => drop(shell.leaves.entry(i).or_insert(now)),
                 }
             }
-            let (life, input) = (shell.life, Input::List(self.list.clone()));
+            let (life, input) = (shell.life, Input::DiscoverySnapshot(self.list.clone()));
             self.reach(director as u16, life, input);
         }
     }
@@ -481,7 +497,7 @@
             for (&sess, seat) in &shell.seats {
                 let Some(node) = seat.plays_at else { continue };
                 let share = shares[node];
-                flows.push((director as u16, shell.life, Input::Flow { sess, share }));
+                flows.push((director as u16, shell.life, Input::SessionDelivery { session: sess, share }));
                 let rung = self.settings.headend.ladder.get(usize::from(seat.rung));
                 let group = &mut self.report.groups[seat.group];
                 group.watched += 1.0;
@@ -495,7 +511,7 @@
         let fills: Vec<f64> = (0..self.fleet.all.len()).map(|i| self.fleet.fill(i)).collect();
         let mean = fills.iter().sum::<f64>() / fills.len().max(1) as f64;
         self.sample.fill = (mean, fills.iter().copied().fold(0.0, f64::max));
-        let limit = |shell: &Shell| Some(shell.engine.as_ref()?.door()?.limit());
+        let limit = |shell: &Shell| Some(shell.engine.as_ref()?.admission()?.limit());
         self.sample.limits = self.shells.iter().map(limit).collect();
         let next = self.empty_sample(second + 1);
         self.report.samples.push(std::mem::replace(&mut self.sample, next));
@@ -509,7 +525,7 @@
             if let Some(engine) = &shell.engine {
                 let tally = engine.tally();
                 self.report.setups += tally.setups;
-                if let Some(door) = engine.door() {
+                if let Some(door) = engine.admission() {
                     let kept = door.view().promises;
                     let (made, came, went_in) = &mut self.report.promised;
                     (*made, *came, *went_in) =
--- a/crates/ledger/src/pages.rs
+++ b/crates/ledger/src/journal.rs
@@ -6,36 +6,37 @@
 use ashglade::ids::SessionId;
 use serde::{Deserialize, Serialize};
 
-use crate::Held;
+use crate::HeldSession;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Line {
-    Held(SessionId, Held),
-    Struck(SessionId),
+pub enum Entry {
+    Held(SessionId, HeldSession),
+    #[serde(rename = "struck")]
+    Removed(SessionId),
 }
 
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {what}")]
-pub struct Trouble {
+pub struct JournalError {
     pub line: usize,
     pub what: String,
 }
 
 /// What is still open at the end of these pages.
-pub fn open(text: &str) -> Result<BTreeMap<SessionId, Held>, Trouble> {
+pub fn open_sessions(text: &str) -> Result<BTreeMap<SessionId, HeldSession>, JournalError> {
     let mut open = BTreeMap::new();
     for (i, line) in text.split_inclusive('\n').enumerate() {
         match serde_json::from_str(line) {
-            Ok(Line::Held(sess, held)) => drop(open.insert(sess, held)),
-            Ok(Line::Struck(sess)) => drop(open.remove(&sess)),
+            Ok(Entry::Held(sess, held)) => drop(open.insert(sess, held)),
+            Ok(Entry::Removed(sess)) => drop(open.remove(&sess)),
             Err(_) if !line.ends_with('\n') => break,
-            Err(e) => return Err(Trouble { line: i + 1, what: e.to_string() }),
+            Err(e) => return Err(JournalError { line: i + 1, what: e.to_string() }),
         }
     }
     Ok(open)
 }
 
-pub fn write(line: &Line) -> String {
+pub fn encode(line: &Entry) -> String {
     serde_json::to_string(line).map(|text| text + "\n").unwrap_or_default()
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -21,11 +21,11 @@
 use ashglade::time::{Instant, Span};
 use serde::{Deserialize, Serialize};
 
-pub mod pages;
+pub mod journal;
 
 /// A session at a node, as far as it takes to end it there.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Held {
+pub struct HeldSession {
     pub node: NodeId,
     pub address: SocketAddr,
     pub url: String,
@@ -37,7 +37,7 @@
 
 /// How tear-downs that are owed are tried.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct TeardownPolicy {
     /// Pause before the second try; each further one is twice as long,
     pub first: Span,
     /// up to this.
@@ -48,26 +48,26 @@
     pub bound: usize,
 }
 
-impl Default for Terms {
-    fn default() -> Terms {
-        Terms { first: Span::from_ms(250.0), most: Span::from_secs(8.0), at_once: 2, bound: 100_000 }
+impl Default for TeardownPolicy {
+    fn default() -> TeardownPolicy {
+        TeardownPolicy { first: Span::from_ms(250.0), most: Span::from_secs(8.0), at_once: 2, bound: 100_000 }
     }
 }
 
 /// What came of a try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum TeardownOutcome {
     /// The node ended it, or didn't know it.
-    Ended,
+    Confirmed,
     /// No connection, no answer, or another one.
     Failed,
 }
 
 /// A tear-down to be tried now.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Call {
-    pub sess: SessionId,
-    pub held: Held,
+pub struct Teardown {
+    pub session: SessionId,
+    pub held: HeldSession,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
@@ -84,7 +84,7 @@
 
 #[derive(Debug)]
 struct Debt {
-    held: Held,
+    held: HeldSession,
     since: Instant,
     out: bool,
 }
@@ -102,9 +102,9 @@
 
 #[derive(Debug)]
 pub struct Ledger {
-    terms: Terms,
+    terms: TeardownPolicy,
     random: oorandom::Rand64,
-    held: BTreeMap<SessionId, Held>,
+    held: BTreeMap<SessionId, HeldSession>,
     debts: BTreeMap<SessionId, Debt>,
     queues: BTreeMap<NodeId, Queue>,
     /// When each queue that waits is due.
@@ -113,7 +113,7 @@
 }
 
 impl Ledger {
-    pub fn new(terms: Terms, seed: u64) -> Ledger {
+    pub fn new(terms: TeardownPolicy, seed: u64) -> Ledger {
         Ledger {
             terms,
             random: oorandom::Rand64::new(seed.into()),
@@ -135,30 +135,30 @@
     }
 
     /// A node set a session up.
-    pub fn hold(&mut self, sess: SessionId, held: Held) {
+    pub fn session_held(&mut self, sess: SessionId, held: HeldSession) {
         self.tally.held += 1;
         self.held.insert(sess, held);
         self.keep_bound();
     }
 
     /// The node said that it ended the session.
-    pub fn ended(&mut self, sess: SessionId) {
+    pub fn session_ended(&mut self, sess: SessionId) {
         self.held.remove(&sess);
     }
 
     /// The session is over here, and the node has not said that it is there.
-    pub fn owe(&mut self, sess: SessionId, now: Instant) {
+    pub fn schedule_teardown(&mut self, sess: SessionId, now: Instant) {
         if let Some(held) = self.held.remove(&sess) {
             self.debt(sess, held, now);
         }
     }
 
     /// What an earlier director held when it ended, as its pages tell.
-    pub fn inherit(&mut self, sess: SessionId, held: Held, now: Instant) {
+    pub fn schedule_inherited(&mut self, sess: SessionId, held: HeldSession, now: Instant) {
         self.debt(sess, held, now);
     }
 
-    fn debt(&mut self, sess: SessionId, held: Held, now: Instant) {
+    fn debt(&mut self, sess: SessionId, held: HeldSession, now: Instant) {
         self.tally.owed += 1;
         let node = held.node;
         self.debts.insert(sess, Debt { held, since: now, out: false });
@@ -201,13 +201,13 @@
         }
     }
 
-    pub fn next_due(&self) -> Option<Instant> {
+    pub fn next_deadline(&self) -> Option<Instant> {
         self.due.first().map(|&(at, _)| at)
     }
 
     /// What is to be tried now. What a node has forgotten by itself is struck out; its sessions are returned so that
     /// pages can be.
-    pub fn calls(&mut self, now: Instant) -> (Vec<Call>, Vec<SessionId>) {
+    pub fn due_teardowns(&mut self, now: Instant) -> (Vec<Teardown>, Vec<SessionId>) {
         let (mut calls, mut struck) = (Vec::new(), Vec::new());
         while let Some(&(at, node)) = self.due.first().filter(|(at, _)| *at <= now) {
             self.due.remove(&(at, node));
@@ -227,7 +227,7 @@
                 queue.out += 1;
                 debt.out = true;
                 self.tally.calls += 1;
-                calls.push(Call { sess, held: debt.held.clone() });
+                calls.push(Teardown { session: sess, held: debt.held.clone() });
             }
             if queue.out == 0 && queue.waiting.is_empty() {
                 self.queues.remove(&node);
@@ -237,11 +237,11 @@
     }
 
     /// How a try ended; true if the session is struck out.
-    pub fn told(&mut self, sess: SessionId, outcome: Outcome, now: Instant) -> bool {
+    pub fn teardown_finished(&mut self, sess: SessionId, outcome: TeardownOutcome, now: Instant) -> bool {
         let Some(debt) = self.debts.get_mut(&sess).filter(|debt| debt.out) else { return false };
         debt.out = false;
         let node = debt.held.node;
-        let ended = outcome == Outcome::Ended;
+        let ended = outcome == TeardownOutcome::Confirmed;
         if ended {
             self.debts.remove(&sess);
             self.tally.ended += 1;
@@ -264,7 +264,7 @@
     }
 
     /// A node has started again: it holds nothing from before. The sessions that are struck out.
-    pub fn started(&mut self, node: NodeId, at: Instant) -> Vec<SessionId> {
+    pub fn node_started(&mut self, node: NodeId, at: Instant) -> Vec<SessionId> {
         let before = |debt: &Debt| debt.held.node == node && debt.since <= at && !debt.out;
         let gone: Vec<SessionId> =
             self.debts.iter().filter(|(_, d)| before(d)).map(|(&sess, _)| sess).collect();
--- a/crates/peer-transport/src/run.rs
+++ b/crates/peer-transport/src/run.rs
@@ -5,7 +5,7 @@
 
 use ashglade::time::{Instant, Span};
 use ashglade_clock::Clock;
-use ashglade_engine::{Input, Seen as Outcome};
+use ashglade_engine::{Input, SetupResult as Outcome};
 use ashglade_settings::Settings;
 use ashglade_shared::{Member, Pool, Terms, Word, verdict};
 use tokio::net::UdpSocket;
@@ -113,7 +113,7 @@
                 Err(_) => Vec::new(),
             },
             Some(outcome) = talk.with.seen.recv() => {
-                if let Some(verdict) = verdict(outcome.ended) {
+                if let Some(verdict) = verdict(outcome.failure) {
                     talk.member.saw(outcome.node.0, verdict, talk.with.clock.now());
                 }
                 Vec::new()
@@ -189,7 +189,7 @@
         let now = self.with.clock.now();
         let (view, news) = self.teller.look(&self.member, &self.with.terms, now);
         for input in news {
-            if matches!(input, Input::Doubted { .. }) {
+            if matches!(input, Input::SuspectedNodes { .. }) {
                 info!(nodes = ?view.left, "nodes that are tried last, by who finds them failing");
             }
             self.engine.tell(input).await;
--- a/crates/peer-transport/src/teller.rs
+++ b/crates/peer-transport/src/teller.rs
@@ -2,7 +2,7 @@
 
 use ashglade::ids::NodeId;
 use ashglade::time::{Instant, Span};
-use ashglade_engine::{Input, Lapse};
+use ashglade_engine::{Input, LeaseExpiry};
 use ashglade_shared::rights::Held;
 use ashglade_shared::{Member, Pool, Terms, View};
 
@@ -12,8 +12,8 @@
 pub struct Teller {
     /// The span in which a node's further SETUPs are counted, where they are shared.
     repeats_span: Option<Span>,
-    turns: (Vec<usize>, Option<Lapse>),
-    repeats: Option<(usize, Option<Lapse>)>,
+    turns: (Vec<usize>, Option<LeaseExpiry>),
+    repeats: Option<(usize, Option<LeaseExpiry>)>,
     last: Vec<NodeId>,
 }
 
@@ -45,7 +45,11 @@
         let lapse = lapse(&held, of, early);
         if is_news(&self.turns.0, &self.turns.1, &held.rights, &lapse) {
             self.turns = (held.rights.clone(), lapse);
-            news.push(Input::Turns { ours: held.rights, of: terms.directors() * 2, lapse });
+            news.push(Input::SlowStartTurns {
+                owned: held.rights,
+                total: terms.directors() * 2,
+                lease_expiry: lapse,
+            });
         }
         let (held, of) = pool(REPEATS);
         if let (Some(pool), Some(span)) = (of, self.repeats_span) {
@@ -53,25 +57,25 @@
             let told = self.repeats.as_ref();
             if told.is_none_or(|(before, until)| is_news(&[*before], until, &[most], &lapse)) {
                 self.repeats = Some((most, lapse));
-                news.push(Input::Repeats { most, span, lapse });
+                news.push(Input::RetryLimitPerNode { limit: most, window: span, lease_expiry: lapse });
             }
         }
         let last: Vec<NodeId> = view.left.keys().map(|&node| NodeId(node)).collect();
         if last != self.last {
             self.last.clone_from(&last);
-            news.push(Input::Doubted { nodes: last });
+            news.push(Input::SuspectedNodes { nodes: last });
         }
         (view, news)
     }
 }
 
 /// When what is lent runs out, if anything is, and what is kept then.
-fn lapse(held: &Held, pool: Option<&Pool>, early: Span) -> Option<Lapse> {
-    Some(Lapse { at: held.until? - early, kept: pool?.kept })
+fn lapse(held: &Held, pool: Option<&Pool>, early: Span) -> Option<LeaseExpiry> {
+    Some(LeaseExpiry { at: held.until? - early, retained: pool?.kept })
 }
 
 /// The engine is told anew when rights change, and when a lease was renewed for a good while.
-fn is_news(before: &[usize], until: &Option<Lapse>, now: &[usize], new: &Option<Lapse>) -> bool {
+fn is_news(before: &[usize], until: &Option<LeaseExpiry>, now: &[usize], new: &Option<LeaseExpiry>) -> bool {
     let later = match (until, new) {
         (Some(before), Some(new)) => new.at - before.at > Span::from_secs(LOOK.as_secs_f64()),
         (before, new) => before.is_some() != new.is_some(),
--- a/crates/platform/src/ask.rs
+++ b/crates/platform/src/ask.rs
@@ -3,14 +3,14 @@
 
 use ashglade::ids::{CellId, GroupId, Rung, TitleId};
 use ashglade::time::Span;
-use ashglade_engine::Want;
+use ashglade_engine::ViewerRequest;
 use ashglade_site::{Site, place};
 
 use crate::message::{Message, figure};
 
 #[derive(Debug, PartialEq)]
 pub struct Ask {
-    pub want: Want,
+    pub want: ViewerRequest,
     pub class: String,
     pub key: String,
     pub description: String,
@@ -106,12 +106,12 @@
     let cells = site.headend.cell_count;
     let description = message.description.clone().ok_or_else(|| wrong("blob", "is missing"))?;
     Ok(Ask {
-        want: Want {
+        want: ViewerRequest {
             group: GroupId(group),
             title: TitleId(title),
-            top: Rung(whole("top", extras.top, 0, u16::from(u8::MAX))? as u8),
-            home: CellId(whole("home", extras.home, 0, cells.saturating_sub(1))?),
-            copies: whole("copies", extras.copies, 1, cells)?,
+            top_rung: Rung(whole("top", extras.top, 0, u16::from(u8::MAX))? as u8),
+            first_cell: CellId(whole("home", extras.home, 0, cells.saturating_sub(1))?),
+            cell_count: whole("copies", extras.copies, 1, cells)?,
             setup_timeout,
             tenant,
             client: extras.viewer.and_then(|v| u64::from_str_radix(v, 16).ok()).unwrap_or(0),
--- a/crates/platform/src/board.rs
+++ b/crates/platform/src/board.rs
@@ -12,7 +12,7 @@
 use ashglade::ids::{NodeId, Rung, SessionId, SetupNumber};
 use ashglade::interface::AttemptOutcome;
 use ashglade::time::{Instant, Span};
-use ashglade_engine::{Answer, Effect, Engine, Input, Start, Tally};
+use ashglade_engine::{Effect, Engine, EngineConfig, Input, SessionResponse, Tally};
 use ashglade_site::Site;
 use bytes::Bytes;
 use tracing::{debug, trace, warn};
@@ -168,7 +168,7 @@
 
 pub struct Board {
     pub(crate) site: Site,
-    start: Start,
+    start: EngineConfig,
     pub(crate) bounds: Bounds,
     engine: Option<Engine>,
     /// When the first round is, once that is known.
@@ -199,12 +199,12 @@
         let site = config.site.clone();
         let bounds = Bounds::of(config.limits.memory_mb);
         let spare = config.limits.sockets.saturating_sub(OWN_DESCRIPTORS).max(2);
-        let start = Start {
-            headend: site.headend.clone(),
+        let start = EngineConfig {
+            director: site.headend.clone(),
             answer_margin: Span::from_ms(ANSWER_MARGIN_MS),
             probe_timeout: site.dial_timeout,
-            most_sessions: bounds.sessions,
-            door: None,
+            max_sessions: bounds.sessions,
+            admission: None,
         };
         Board {
             start,
@@ -259,7 +259,7 @@
     }
 
     pub fn next_due(&self) -> Instant {
-        let engine = self.engine.as_ref().and_then(Engine::next_due);
+        let engine = self.engine.as_ref().and_then(Engine::next_deadline);
         let arrived = self.arrivals.front().map(|arrival| arrival.at);
         [Some(self.look_at), self.begins, arrived, engine].into_iter().flatten().min().unwrap_or(self.look_at)
     }
@@ -286,10 +286,10 @@
         }
         if self.begins.is_some_and(|at| at <= now) {
             self.begins = None;
-            self.engine = Some(Engine::start(self.start.clone(), now));
+            self.engine = Some(Engine::new(self.start.clone(), now));
         }
         while let Some(engine) = &mut self.engine {
-            if self.inputs.is_empty() && engine.next_due().is_none_or(|due| due > now) {
+            if self.inputs.is_empty() && engine.next_deadline().is_none_or(|due| due > now) {
                 break;
             }
             for effect in engine.round(now, std::mem::take(&mut self.inputs)) {
@@ -333,23 +333,25 @@
 
     fn act(&mut self, now: Instant, effect: Effect) {
         match effect {
-            Effect::Setup { sess, setup, node, rung, until } => {
+            Effect::SendSetup { session: sess, setup, node, rung, deadline: until } => {
                 self.set_up(now, sess, Out { setup, node, rung, until, sent: None });
             }
-            Effect::Withdraw { sess, setup, if_unsent } => self.withdraw(now, sess, setup, if_unsent),
-            Effect::Answer { sess, answer } => self.answer(now, sess, answer),
-            Effect::Rung { sess, rung } => self.change_rung(now, sess, rung),
-            Effect::Release { sess } => self.release(now, sess),
-            Effect::SendBack { sess } => {
+            Effect::CancelSetup { session: sess, setup, if_unsent } => {
+                self.withdraw(now, sess, setup, if_unsent)
+            }
+            Effect::Respond { session: sess, response: answer } => self.answer(now, sess, answer),
+            Effect::ChangeRung { session: sess, rung } => self.change_rung(now, sess, rung),
+            Effect::ReleaseSession { session: sess } => self.release(now, sess),
+            Effect::ReconnectViewer { session: sess } => {
                 let tag = self.calls.get(&sess).map(|call| call.tag);
                 if let Some(line) = tag.and_then(|tag| message::write(Verb::Move, tag, &[], None, None)) {
                     self.tell_viewer(sess, line);
                 }
                 self.release(now, sess);
-                self.inputs.push(Input::Over { sess, how: AttemptOutcome::Cancelled });
+                self.inputs.push(Input::SessionEnded { session: sess, outcome: AttemptOutcome::Cancelled });
             }
-            Effect::Probe { probe, node } => self.probe(now, probe, node),
-            Effect::Listed { .. } | Effect::Drained => {}
+            Effect::SendProbe { probe, node } => self.probe(now, probe, node),
+            Effect::DiscoveryResult { .. } | Effect::Drained => {}
         }
     }
 
@@ -548,7 +550,7 @@
             return self.refuse(link, tag, causes::CONGESTED);
         }
         let Some(sess) = self.take_in_hand(now, link, tag, Some(Box::new(ask)), None) else { return };
-        self.inputs.push(Input::Asked { sess, want });
+        self.inputs.push(Input::SessionRequested { session: sess, request: want });
     }
 
     /// A set-up that is to be answered, or a session that stands at a node already.
@@ -586,7 +588,7 @@
         }
         self.named(now, node, name);
         let Some(sess) = self.take_in_hand(now, link, tag, None, Some((node, now))) else { return };
-        self.inputs.push(Input::UnderWay { sess, want: ask.want, node });
+        self.inputs.push(Input::SessionHandedOver { session: sess, request: ask.want, node });
         self.stands(now, sess, node);
     }
 
@@ -598,16 +600,16 @@
         if let Some(viewer) = self.viewers.get_mut(&link) {
             viewer.open.remove(&sess);
         }
-        self.inputs.push(Input::Left { sess });
+        self.inputs.push(Input::ViewerLeft { session: sess });
         self.recall_unsent(sess);
         self.settle(sess);
     }
 
-    fn answer(&mut self, now: Instant, sess: SessionId, answer: Answer) {
+    fn answer(&mut self, now: Instant, sess: SessionId, answer: SessionResponse) {
         let Some(call) = self.calls.get_mut(&sess) else { return };
         call.answered = true;
         let (tag, link) = (call.tag, call.link);
-        let plays = matches!(answer, Answer::Plays { .. });
+        let plays = matches!(answer, SessionResponse::Plays { .. });
         let described = call.description.take();
         let line = match &described {
             Some(text) if plays => message::write(Verb::Started, tag, &[], None, Some(text)),
@@ -655,7 +657,7 @@
 
     /// A session that stood is over: its viewer is released, if owed, and nothing is kept.
     pub(crate) fn over(&mut self, now: Instant, sess: SessionId, how: AttemptOutcome, owed: bool) {
-        self.inputs.push(Input::Over { sess, how });
+        self.inputs.push(Input::SessionEnded { session: sess, outcome: how });
         let Some(call) = self.calls.get(&sess) else { return };
         let (tag, from, link) = (call.tag, call.from, call.link);
         let line = message::write(Verb::Finish, tag, &[], Some(causes::of_over(how)), None);
--- a/crates/platform/src/causes.rs
+++ b/crates/platform/src/causes.rs
@@ -2,7 +2,7 @@
 
 use ashglade::interface::AttemptOutcome;
 
-use ashglade_engine::{Answer, Why};
+use ashglade_engine::{BusyReason, SessionResponse};
 
 /// The set-up is given up, or the session ended as it should.
 pub const CLEARED: u16 = 16;
@@ -33,12 +33,12 @@
 }
 
 /// What the viewer is told in place of an answer.
-pub fn of_answer(answer: &Answer) -> u16 {
+pub fn of_answer(answer: &SessionResponse) -> u16 {
     match answer {
-        Answer::Plays { .. } => CLEARED,
-        Answer::Busy { why: Why::NoRoom, .. } => NO_ROOM,
-        Answer::Busy { .. } => CONGESTED,
-        Answer::TornDown => CUT,
+        SessionResponse::Plays { .. } => CLEARED,
+        SessionResponse::Busy { why: BusyReason::NoRoom, .. } => NO_ROOM,
+        SessionResponse::Busy { .. } => CONGESTED,
+        SessionResponse::TornDown => CUT,
     }
 }
 
--- a/crates/platform/src/peers.rs
+++ b/crates/platform/src/peers.rs
@@ -10,7 +10,7 @@
 use ashglade::ids::{NodeId, Rung, SessionId, SetupNumber};
 use ashglade::interface::{AttemptOutcome, LoadMetric};
 use ashglade::time::{Instant, Span};
-use ashglade_engine::{Input, Load, Standing, Told};
+use ashglade_engine::{Input, LoadReport, NodeStatus, NodeUpdate};
 use bytes::Bytes;
 use tracing::{debug, trace, warn};
 
@@ -111,11 +111,11 @@
         for entry in news.entries {
             left.remove(&entry.node);
             let standing = match (entry.ready, entry.removed) {
-                (true, _) => Standing::Ready(entry.place),
-                (_, true) => Standing::Gone,
-                _ => Standing::Draining,
+                (true, _) => NodeStatus::Ready(entry.place),
+                (_, true) => NodeStatus::Gone,
+                _ => NodeStatus::Draining,
             };
-            nodes.push(Told { node: entry.node, standing });
+            nodes.push(NodeUpdate { node: entry.node, status: standing });
             let name = entry.name;
             let peer = self.peers.entry(entry.node).or_insert_with(|| Peer::new(name, now));
             peer.listed = true;
@@ -134,13 +134,13 @@
             }
         }
         for node in left {
-            nodes.push(Told { node, standing: Standing::Gone });
+            nodes.push(NodeUpdate { node, status: NodeStatus::Gone });
             if let Some(peer) = self.peers.get_mut(&node) {
                 (peer.listed, peer.removed, peer.address) = (true, true, None);
                 peer.pending.clear();
             }
         }
-        self.inputs.push(Input::Told { whole: news.whole, nodes });
+        self.inputs.push(Input::DiscoveryUpdate { full: news.whole, nodes });
     }
 
     /// What was there before is lost.
@@ -228,7 +228,7 @@
                 name = peer.name,
                 resumes, "its process went on: what was there before speaks, or it did at once"
             );
-            self.inputs.push(Input::WentOn { node });
+            self.inputs.push(Input::NodeKeptRunning { node });
         }
         match (message.verb, sess) {
             (Verb::Started, Some(sess)) if out.is_some() => {
@@ -239,7 +239,7 @@
                     (call.at, call.description, call.ask) = (Some((node, now)), Some(text), None);
                 }
                 self.stands(now, sess, node);
-                self.inputs.push(Input::Started { sess, setup, load });
+                self.inputs.push(Input::SetupAccepted { session: sess, setup, load });
             }
             (Verb::Started, _) if !stands => {
                 // It comes too late to be wanted, or was never asked for.
@@ -254,12 +254,12 @@
                     (Some(sess), Some(setup)) => {
                         self.set_up_over(sess);
                         let how = causes::of_setup(cause);
-                        self.inputs.push(Input::Ended { sess, setup, how, load });
+                        self.inputs.push(Input::SetupFailed { session: sess, setup, outcome: how, load });
                         self.spoke(node, how, true);
                         self.settle(sess);
                     }
                     (Some(sess), None) if stands => {
-                        self.inputs.extend(load.map(|load| Input::Load { node, load }));
+                        self.inputs.extend(load.map(|load| Input::NodeLoad { node, load }));
                         let (how, owed) = causes::of_session(cause);
                         let stood = self.calls.get(&sess).and_then(|call| call.at).map(|(_, since)| since);
                         let unbroken = made.zip(stood).is_some_and(|(made, stood)| made <= stood);
@@ -275,11 +275,11 @@
                 match test {
                     Some(Some(probe)) => {
                         let load = passed.then(|| load.unwrap_or_default());
-                        self.inputs.push(Input::Probed { probe, load });
+                        self.inputs.push(Input::ProbeResult { probe, load });
                     }
                     // What a test of ours brings is worth as much as what the module asked for.
                     Some(None) if passed => {
-                        self.inputs.extend(load.map(|load| Input::Load { node, load }));
+                        self.inputs.extend(load.map(|load| Input::NodeLoad { node, load }));
                     }
                     _ => {}
                 }
@@ -287,15 +287,17 @@
             (Verb::Notice, Some(sess)) if stands => {
                 let Some(value) = message.opts.figure("value") else { return };
                 match message.opts.get("note") {
-                    Some("d") => self.inputs.push(Input::Delivered { node, share: value }),
-                    Some("r") => self.inputs.push(Input::Stays { sess, rung: Rung(value as u8) }),
+                    Some("d") => self.inputs.push(Input::NodeDelivery { node, share: value }),
+                    Some("r") => {
+                        self.inputs.push(Input::RungUnchanged { session: sess, rung: Rung(value as u8) })
+                    }
                     Some("l") => {
-                        let load = Load { link: Some(value), ..Load::default() };
-                        self.inputs.push(Input::Load { node, load });
+                        let load = LoadReport { link: Some(value), ..LoadReport::default() };
+                        self.inputs.push(Input::NodeLoad { node, load });
                     }
                     Some("u") => {
-                        let load = Load { uplink: Some(value), ..Load::default() };
-                        self.inputs.push(Input::Load { node, load });
+                        let load = LoadReport { uplink: Some(value), ..LoadReport::default() };
+                        self.inputs.push(Input::NodeLoad { node, load });
                     }
                     _ => {}
                 }
@@ -307,7 +309,7 @@
     /// A node that says itself, on the connection that its session began on, that the session was lost has not ended.
     fn spoke(&mut self, node: NodeId, how: AttemptOutcome, unbroken: bool) {
         if how == AttemptOutcome::Lost && unbroken {
-            self.inputs.push(Input::WentOn { node });
+            self.inputs.push(Input::NodeKeptRunning { node });
         }
     }
 
@@ -330,12 +332,17 @@
             let Some(out) = call.out.take() else { continue };
             // It may have run, and may stand there unknown to us.
             let tag = call.tag;
-            self.inputs.push(Input::Ended { sess, setup: out.setup, how: AttemptOutcome::Lost, load: None });
+            self.inputs.push(Input::SetupFailed {
+                session: sess,
+                setup: out.setup,
+                outcome: AttemptOutcome::Lost,
+                load: None,
+            });
             self.owe(now, node, tag);
             self.settle(sess);
         }
         for probe in line.echoes.into_values().flatten() {
-            self.inputs.push(Input::Probed { probe, load: None });
+            self.inputs.push(Input::ProbeResult { probe, load: None });
         }
         // It may have gone with the connection.
         for (_, tag) in line.released.into_iter().filter(|(at, _)| now - *at <= Span::from_secs(PENDING)) {
@@ -378,7 +385,12 @@
         if let Some(peer) = self.peers.get_mut(&out.node) {
             peer.waiting.retain(|&other| other != sess);
         }
-        self.inputs.push(Input::Ended { sess, setup: out.setup, how: AttemptOutcome::Unsent, load: None });
+        self.inputs.push(Input::SetupFailed {
+            session: sess,
+            setup: out.setup,
+            outcome: AttemptOutcome::Unsent,
+            load: None,
+        });
     }
 
     /// What waits for a connection can't have one, if none is on its way.
@@ -393,10 +405,15 @@
         let (waiting, probes) = (std::mem::take(&mut peer.waiting), std::mem::take(&mut peer.probes));
         for sess in waiting {
             let Some(out) = self.calls.get_mut(&sess).and_then(|call| call.out.take()) else { continue };
-            self.inputs.push(Input::Ended { sess, setup: out.setup, how, load: None });
+            self.inputs.push(Input::SetupFailed {
+                session: sess,
+                setup: out.setup,
+                outcome: how,
+                load: None,
+            });
             self.settle(sess);
         }
-        self.inputs.extend(probes.into_iter().map(|probe| Input::Probed { probe, load: None }));
+        self.inputs.extend(probes.into_iter().map(|probe| Input::ProbeResult { probe, load: None }));
     }
 
     // What the engine wants
@@ -405,7 +422,12 @@
         let (node, setup) = (out.node, out.setup);
         let Some(call) = self.calls.get_mut(&sess) else { return };
         if self.peers.get(&node).is_none_or(|peer| peer.address.is_none()) {
-            return self.inputs.push(Input::Ended { sess, setup, how: AttemptOutcome::Unsent, load: None });
+            return self.inputs.push(Input::SetupFailed {
+                session: sess,
+                setup,
+                outcome: AttemptOutcome::Unsent,
+                load: None,
+            });
         }
         call.out = Some(out);
         match self.trunk(now, node) {
@@ -419,7 +441,12 @@
                     if let Some(call) = self.calls.get_mut(&sess) {
                         call.out = None;
                     }
-                    self.inputs.push(Input::Ended { sess, setup, how: AttemptOutcome::Unsent, load: None });
+                    self.inputs.push(Input::SetupFailed {
+                        session: sess,
+                        setup,
+                        outcome: AttemptOutcome::Unsent,
+                        load: None,
+                    });
                 }
             },
         }
@@ -433,7 +460,12 @@
         if call.answered || now >= out.until {
             // Nobody waits for it any longer.
             call.out = None;
-            self.inputs.push(Input::Ended { sess, setup, how: AttemptOutcome::Unsent, load: None });
+            self.inputs.push(Input::SetupFailed {
+                session: sess,
+                setup,
+                outcome: AttemptOutcome::Unsent,
+                load: None,
+            });
             return self.settle(sess);
         }
         let (rung, left) = (out.rung.0.to_string(), (out.until - now).as_ms().floor().max(1.0).to_string());
@@ -442,14 +474,19 @@
         let line = message::write(Verb::Start, call.tag, &opts, None, Some(&ask.description));
         let Some(line) = line else {
             call.out = None;
-            return self.inputs.push(Input::Ended { sess, setup, how: AttemptOutcome::Unsent, load: None });
+            return self.inputs.push(Input::SetupFailed {
+                session: sess,
+                setup,
+                outcome: AttemptOutcome::Unsent,
+                load: None,
+            });
         };
         out.sent = Some((trunk, now));
         call.begun = true;
         if let Some(on) = self.trunks.get_mut(&trunk) {
             on.open.insert(sess);
         }
-        self.inputs.push(Input::Written { sess, setup });
+        self.inputs.push(Input::SetupWritten { session: sess, setup });
         self.actions.push(Action::ToNode(trunk, line));
     }
 
@@ -463,7 +500,7 @@
                 peer.waiting.retain(|&other| other != sess);
             }
             let how = if late { AttemptOutcome::Unreachable } else { AttemptOutcome::Unsent };
-            self.inputs.push(Input::Ended { sess, setup, how, load: None });
+            self.inputs.push(Input::SetupFailed { session: sess, setup, outcome: how, load: None });
             return self.settle(sess);
         };
         if if_unsent {
@@ -475,7 +512,12 @@
             self.given_up.pop_front();
             warn!("more SETUPs were given up than are held: what comes of the oldest stays where it is");
         }
-        self.inputs.push(Input::Ended { sess, setup, how: AttemptOutcome::Silent, load: None });
+        self.inputs.push(Input::SetupFailed {
+            session: sess,
+            setup,
+            outcome: AttemptOutcome::Silent,
+            load: None,
+        });
         if late && let Some(peer) = self.peers.get_mut(&node) {
             peer.doubted = Some(now);
         }
@@ -513,7 +555,7 @@
             Some(trunk) => self.echo(trunk, Some(probe)),
             None => match self.peers.get_mut(&node) {
                 Some(peer) if !peer.trunks.is_empty() => peer.probes.push(probe),
-                _ => self.inputs.push(Input::Probed { probe, load: None }),
+                _ => self.inputs.push(Input::ProbeResult { probe, load: None }),
             },
         }
     }
@@ -752,8 +794,8 @@
 }
 
 /// A report: figures by the names of the settings, as in `x0:0.12;x1:0.4`.
-fn read_load(text: &str) -> Load {
-    let mut load = Load::default();
+fn read_load(text: &str) -> LoadReport {
+    let mut load = LoadReport::default();
     for (name, value) in text.split(';').filter_map(|pair| pair.split_once(':')) {
         let value = figure(value);
         match ashglade_site::gauge(name) {
