--- a/crates/director/src/attempt.rs
+++ b/crates/director/src/attempt.rs
@@ -5,10 +5,10 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use ashglade::ids::{Node, Sess, SetupNo};
-use ashglade::interface::Ending;
+use ashglade::ids::{NodeId, SessionId, SetupNumber};
+use ashglade::interface::AttemptOutcome;
 use ashglade::time::Instant;
-use ashglade_engine::{Input, Load};
+use ashglade_engine::{Input, LoadReport};
 use ashglade_rtsp::client::{Answer, Client};
 use ashglade_rtsp::{Packet, Response, messages};
 use futures_util::{SinkExt, StreamExt};
@@ -20,28 +20,28 @@
 use crate::shared::Shared;
 
 /// How a SETUP ended, with the load that the answer told; where the node accepted it, with what the front holds of it.
-pub type Outcome<T> = Result<(T, Option<Load>), (End, Option<Load>)>;
+pub type Outcome<T> = Result<(T, Option<LoadReport>), (End, Option<LoadReport>)>;
 
 /// How a SETUP came to nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    As(Ending),
+    As(AttemptOutcome),
     /// The node doesn't hold the title.
     Missing,
 }
 
 /// What the engine is told of a SETUP that has ended, and what is held if it started.
-pub fn told<T>(sess: Sess, setup: SetupNo, outcome: Outcome<T>) -> (Input, Option<T>) {
+pub fn told<T>(sess: SessionId, setup: SetupNumber, outcome: Outcome<T>) -> (Input, Option<T>) {
     match outcome {
-        Ok((held, load)) => (Input::Started { sess, setup, load }, Some(held)),
-        Err((End::As(how), load)) => (Input::Ended { sess, setup, how, load }, None),
-        Err((End::Missing, load)) => (Input::Missing { sess, setup, load }, None),
+        Ok((held, load)) => (Input::SetupAccepted { session: sess, setup, load }, Some(held)),
+        Err((End::As(how), load)) => (Input::SetupFailed { session: sess, setup, outcome: how, load }, None),
+        Err((End::Missing, load)) => (Input::TitleMissing { session: sess, setup, load }, None),
     }
 }
 
 /// A SETUP that is out, by either front.
 pub struct Attempt<T> {
-    pub setup: SetupNo,
+    pub setup: SetupNumber,
     task: JoinHandle<Outcome<T>>,
     /// Set before the first byte is written.
     written: Arc<AtomicBool>,
@@ -49,8 +49,8 @@
 
 /// What the task that sends a SETUP says just before it writes the first byte.
 pub struct Begins {
-    pub sess: Sess,
-    pub setup: SetupNo,
+    pub sess: SessionId,
+    pub setup: SetupNumber,
     /// When the engine decided it.
     decided: Instant,
     written: Arc<AtomicBool>,
@@ -65,15 +65,15 @@
             return false;
         }
         self.written.store(true, Ordering::SeqCst);
-        shared.core.tell(Input::Written { sess: self.sess, setup: self.setup }).await;
+        shared.core.tell(Input::SetupWritten { session: self.sess, setup: self.setup }).await;
         true
     }
 }
 
 impl<T: Send + 'static> Attempt<T> {
     pub fn start<F>(
-        sess: Sess,
-        setup: SetupNo,
+        sess: SessionId,
+        setup: SetupNumber,
         decided: Instant,
         send: impl FnOnce(Begins) -> F,
     ) -> Attempt<T>
@@ -91,7 +91,7 @@
 
     /// Waits for the end; may be dropped and called again.
     pub async fn ended(&mut self) -> Outcome<T> {
-        (&mut self.task).await.unwrap_or(Err((End::As(Ending::Lost), None)))
+        (&mut self.task).await.unwrap_or(Err((End::As(AttemptOutcome::Lost), None)))
     }
 
     /// Gives the SETUP up, by closing its connection, unless it has just ended by itself.
@@ -99,15 +99,15 @@
         self.task.abort();
         match self.task.await {
             Ok(outcome) => outcome,
-            Err(_) if self.written.load(Ordering::SeqCst) => Err((End::As(Ending::Cancelled), None)),
-            Err(_) => Err((End::As(Ending::Unsent), None)),
+            Err(_) if self.written.load(Ordering::SeqCst) => Err((End::As(AttemptOutcome::Cancelled), None)),
+            Err(_) => Err((End::As(AttemptOutcome::Unsent), None)),
         }
     }
 }
 
 /// What is to be set up where, by RTSP.
 pub struct Wanted {
-    pub node: Node,
+    pub node: NodeId,
     pub address: SocketAddr,
     pub url: Url,
     /// The track that the viewer begins with.
@@ -118,18 +118,19 @@
 pub async fn send(shared: Arc<Shared>, wanted: Wanted, begins: Begins) -> Outcome<Box<NodeSide>> {
     let Wanted { node, address, url, track } = wanted;
     let connection = shared.pool.connect(address, shared.settings.front.connect_timeout).await;
-    let connection = connection.map_err(|_| (End::As(Ending::Unreachable), None))?;
+    let connection = connection.map_err(|_| (End::As(AttemptOutcome::Unreachable), None))?;
     let mut client = Client::new(url);
     let request = client.setup(track, shared.clock.micros());
     if !begins.writing(&shared).await {
         shared.pool.put(address, connection);
-        return Err((End::As(Ending::Unsent), None));
+        return Err((End::As(AttemptOutcome::Unsent), None));
     }
-    let lost = |_| (End::As(Ending::Lost), None);
+    let lost = |_| (End::As(AttemptOutcome::Lost), None);
     let mut out = Unanswered(Some(connection));
     out.connection()?.send(Packet::Request(request)).await.map_err(lost)?;
     loop {
-        let packet = out.connection()?.next().await.ok_or((End::As(Ending::Lost), None))?.map_err(lost)?;
+        let packet =
+            out.connection()?.next().await.ok_or((End::As(AttemptOutcome::Lost), None))?.map_err(lost)?;
         let Packet::Response(response) = packet else { continue };
         let load = load(&response);
         match client.answered(&response) {
@@ -139,13 +140,13 @@
             }
             Answer::Refused(_, StatusCode::NotEnoughBandwidth | StatusCode::ServiceUnavailable) => {
                 shared.pool.put(address, out.answered()?);
-                return Err((End::As(Ending::Full), load));
+                return Err((End::As(AttemptOutcome::Full), load));
             }
             Answer::Refused(_, StatusCode::NotFound) => {
                 shared.pool.put(address, out.answered()?);
                 return Err((End::Missing, load));
             }
-            Answer::Refused(..) => return Err((End::As(Ending::Fault), load)),
+            Answer::Refused(..) => return Err((End::As(AttemptOutcome::Fault), load)),
             Answer::Stray => {}
         }
     }
@@ -156,12 +157,12 @@
 struct Unanswered(Option<Connection>);
 
 impl Unanswered {
-    fn connection(&mut self) -> Result<&mut Connection, (End, Option<Load>)> {
-        self.0.as_mut().ok_or((End::As(Ending::Lost), None))
+    fn connection(&mut self) -> Result<&mut Connection, (End, Option<LoadReport>)> {
+        self.0.as_mut().ok_or((End::As(AttemptOutcome::Lost), None))
     }
 
-    fn answered(&mut self) -> Result<Connection, (End, Option<Load>)> {
-        self.0.take().ok_or((End::As(Ending::Lost), None))
+    fn answered(&mut self) -> Result<Connection, (End, Option<LoadReport>)> {
+        self.0.take().ok_or((End::As(AttemptOutcome::Lost), None))
     }
 }
 
@@ -174,11 +175,11 @@
 }
 
 /// The load that an answer tells, in the engine's words.
-pub fn load(response: &Response) -> Option<Load> {
+pub fn load(response: &Response) -> Option<LoadReport> {
     messages::load_of(response).map(in_our_words)
 }
 
 /// A load as nodes tell it, in the engine's words.
-pub fn in_our_words(told: ashglade_rtsp::load::Load) -> Load {
-    Load { link: told.link, uplink: told.uplink, streams: told.streams }
+pub fn in_our_words(told: ashglade_rtsp::load::Load) -> LoadReport {
+    LoadReport { link: told.link, uplink: told.uplink, streams: told.streams }
 }
--- a/crates/director/src/shared.rs
+++ b/crates/director/src/shared.rs
@@ -4,9 +4,9 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 
-use ashglade::ids::{Group, Rung, Sess};
+use ashglade::ids::{GroupId, Rung, SessionId};
 use ashglade_clock::Clock;
-use ashglade_engine::Want;
+use ashglade_engine::ViewerRequest;
 use ashglade_rtsp::digest::Users;
 use ashglade_settings::{Settings, Title};
 use bytes::Bytes;
@@ -36,8 +36,8 @@
 
 impl Shared {
     /// A number that no other session has, also not of the director before this one.
-    pub fn new_sess(&self) -> Sess {
-        Sess(self.next_sess.fetch_add(1, Ordering::Relaxed))
+    pub fn new_sess(&self) -> SessionId {
+        SessionId(self.next_sess.fetch_add(1, Ordering::Relaxed))
     }
 
     /// What a viewer asks for, by either front. Clients and tenants are told by the query elements that settings name;
@@ -45,23 +45,23 @@
     pub fn want(
         &self,
         title: &Title,
-        group: Group,
+        group: GroupId,
         top: u8,
         element: impl Fn(&str) -> Option<String>,
         peer: impl FnOnce() -> String,
-    ) -> Want {
+    ) -> ViewerRequest {
         let settings = &self.settings;
         let door = settings.door.as_ref();
         let client = door.and_then(|door| door.client_query.as_deref()).and_then(&element);
         let tenant = door.and_then(|door| door.tenant_query.as_deref()).and_then(&element);
         let mut hasher = SipHasher13::new();
         client.unwrap_or_else(peer).hash(&mut hasher);
-        Want {
+        ViewerRequest {
             group,
-            title: ashglade::ids::Title(title.id),
-            top: Rung(top.min(settings.top_rung())),
-            home: title.home,
-            copies: title.copies,
+            title: ashglade::ids::TitleId(title.id),
+            top_rung: Rung(top.min(settings.top_rung())),
+            first_cell: title.home,
+            cell_count: title.copies,
             setup_timeout: settings.setup_timeouts[group.0],
             tenant: settings.tenant(tenant.as_deref()),
             client: hasher.finish(),
--- a/crates/peer-transport/src/teller.rs
+++ b/crates/peer-transport/src/teller.rs
@@ -1,9 +1,9 @@
 //! Turns changes of the shared state into inputs of the engine. The director in service and the lab's
 //! emulator both use it.
 
-use ashglade::ids::Node;
+use ashglade::ids::NodeId;
 use ashglade::time::{Instant, Span};
-use ashglade_engine::{Input, Lapse};
+use ashglade_engine::{Input, LeaseExpiry};
 use ashglade_shared::rights::Held;
 use ashglade_shared::{Member, Pool, Terms, View};
 
@@ -14,9 +14,9 @@
 pub struct Teller {
     /// Window over which further SETUPs at a node are counted; `None` if directors share no limit on them.
     repeats_span: Option<Span>,
-    turns: (Vec<usize>, Option<Lapse>),
-    repeats: Option<(usize, Option<Lapse>)>,
-    last: Vec<Node>,
+    turns: (Vec<usize>, Option<LeaseExpiry>),
+    repeats: Option<(usize, Option<LeaseExpiry>)>,
+    last: Vec<NodeId>,
 }
 
 impl Teller {
@@ -37,7 +37,7 @@
     }
 
     /// Returns the nodes to be tried last, as last passed to the engine.
-    pub fn last(&self) -> &[Node] {
+    pub fn last(&self) -> &[NodeId] {
         &self.last
     }
 
@@ -52,7 +52,11 @@
         let lapse = lapse(&held, of, early);
         if is_news(&self.turns.0, &self.turns.1, &held.rights, &lapse) {
             self.turns = (held.rights.clone(), lapse);
-            news.push(Input::Turns { ours: held.rights, of: terms.directors() * 2, lapse });
+            news.push(Input::SlowStartTurns {
+                owned: held.rights,
+                total: terms.directors() * 2,
+                lease_expiry: lapse,
+            });
         }
         let (held, of) = pool(REPEATS);
         if let (Some(pool), Some(span)) = (of, self.repeats_span) {
@@ -60,26 +64,26 @@
             let told = self.repeats.as_ref();
             if told.is_none_or(|(before, until)| is_news(&[*before], until, &[most], &lapse)) {
                 self.repeats = Some((most, lapse));
-                news.push(Input::Repeats { most, span, lapse });
+                news.push(Input::RetryLimitPerNode { limit: most, window: span, lease_expiry: lapse });
             }
         }
-        let last: Vec<Node> = view.left.keys().map(|&node| Node(node)).collect();
+        let last: Vec<NodeId> = view.left.keys().map(|&node| NodeId(node)).collect();
         if last != self.last {
             self.last.clone_from(&last);
-            news.push(Input::Doubted { nodes: last });
+            news.push(Input::SuspectedNodes { nodes: last });
         }
         (view, news)
     }
 }
 
 /// Returns when the leases end, and the number of permits retained then; `None` if nothing is leased.
-fn lapse(held: &Held, pool: Option<&Pool>, early: Span) -> Option<Lapse> {
-    Some(Lapse { at: held.until? - early, kept: pool?.kept })
+fn lapse(held: &Held, pool: Option<&Pool>, early: Span) -> Option<LeaseExpiry> {
+    Some(LeaseExpiry { at: held.until? - early, retained: pool?.kept })
 }
 
 /// Returns whether the engine needs an update: the permits changed, or a lease was renewed by more than one
 /// tick.
-fn is_news(before: &[usize], until: &Option<Lapse>, now: &[usize], new: &Option<Lapse>) -> bool {
+fn is_news(before: &[usize], until: &Option<LeaseExpiry>, now: &[usize], new: &Option<LeaseExpiry>) -> bool {
     let later = match (until, new) {
         (Some(before), Some(new)) => new.at - before.at > Span::from_secs(LOOK.as_secs_f64()),
         (before, new) => before.is_some() != new.is_some(),
--- a/crates/peer-transport/src/terms.rs
+++ b/crates/peer-transport/src/terms.rs
@@ -41,7 +41,7 @@
     let talk = settings.talk.as_ref()?;
     let headend = &settings.headend;
     let seconds = |d: Duration| Span::from_secs(d.as_secs_f64());
-    let directors = headend.directors;
+    let directors = headend.director_count;
     // A turn consists of two halves: the first is reserved for its director, the second is leased.
     let mut pools = vec![Pool { kept: 1, lent: directors, always: true }];
     let share = talk.share.as_ref();
@@ -52,11 +52,11 @@
     }
     // The guard interval covers the longest window over which nodes count, the time in which a decided SETUP
     // may still be sent, the interval between checks, and the margin by which permits are given up early.
-    let counted = repeats.map_or(Span::ZERO, |repeats| repeats.span).max(headend.fall_span);
+    let counted = repeats.map_or(Span::ZERO, |repeats| repeats.span).max(headend.overload_window);
     let rest = counted + under_way(settings) + seconds(LOOK) + Span::from_secs(EARLY);
     let never = Span::from_secs(NEVER);
     Some(Terms {
-        me: headend.me,
+        me: headend.director_index,
         zones: talk.zones.clone(),
         council: talk.council,
         lease: seconds(talk.lease),
--- a/crates/platform/src/ask.rs
+++ b/crates/platform/src/ask.rs
@@ -1,16 +1,16 @@
 //! A viewer's set-up, read into what the engine is asked. Every field is checked against the settings: what can't be
 //! meant is told to its sender and reaches no node.
 
-use ashglade::ids::{Cell, Group, Rung, Title};
+use ashglade::ids::{CellId, GroupId, Rung, TitleId};
 use ashglade::time::Span;
-use ashglade_engine::Want;
+use ashglade_engine::ViewerRequest;
 use ashglade_site::{Site, place};
 
 use crate::message::{Message, figure};
 
 #[derive(Debug, PartialEq)]
 pub struct Ask {
-    pub want: Want,
+    pub want: ViewerRequest,
     pub class: String,
     pub key: String,
     pub description: String,
@@ -103,15 +103,15 @@
             Span::from_ms(left.ok_or_else(|| wrong("left", format!("{text:?} is not up to {most} ms")))?)
         }
     };
-    let cells = site.headend.cells;
+    let cells = site.headend.cell_count;
     let description = message.description.clone().ok_or_else(|| wrong("blob", "is missing"))?;
     Ok(Ask {
-        want: Want {
-            group: Group(group),
-            title: Title(title),
-            top: Rung(whole("top", extras.top, 0, u16::from(u8::MAX))? as u8),
-            home: Cell(whole("home", extras.home, 0, cells.saturating_sub(1))?),
-            copies: whole("copies", extras.copies, 1, cells)?,
+        want: ViewerRequest {
+            group: GroupId(group),
+            title: TitleId(title),
+            top_rung: Rung(whole("top", extras.top, 0, u16::from(u8::MAX))? as u8),
+            first_cell: CellId(whole("home", extras.home, 0, cells.saturating_sub(1))?),
+            cell_count: whole("copies", extras.copies, 1, cells)?,
             setup_timeout,
             tenant,
             client: extras.viewer.and_then(|v| u64::from_str_radix(v, 16).ok()).unwrap_or(0),
--- a/crates/platform/src/board.rs
+++ b/crates/platform/src/board.rs
@@ -9,10 +9,10 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{IpAddr, SocketAddr};
 
-use ashglade::ids::{Node, Rung, Sess, SetupNo};
-use ashglade::interface::Ending;
+use ashglade::ids::{NodeId, Rung, SessionId, SetupNumber};
+use ashglade::interface::AttemptOutcome;
 use ashglade::time::{Instant, Span};
-use ashglade_engine::{Answer, Effect, Engine, Input, Start, Tally};
+use ashglade_engine::{Effect, Engine, EngineConfig, Input, SessionResponse, Tally};
 use ashglade_site::Site;
 use bytes::Bytes;
 use tracing::{debug, trace, warn};
@@ -104,8 +104,8 @@
 
 /// A SETUP that is out.
 pub(crate) struct Out {
-    pub setup: SetupNo,
-    pub node: Node,
+    pub setup: SetupNumber,
+    pub node: NodeId,
     pub rung: Rung,
     pub until: Instant,
     /// Where it was written, and when.
@@ -123,7 +123,7 @@
     /// A SETUP of it was written: it may have run.
     pub begun: bool,
     /// The node where it stands, and since when.
-    pub at: Option<(Node, Instant)>,
+    pub at: Option<(NodeId, Instant)>,
     pub description: Option<String>,
     /// It has its answer, or nobody waits for one.
     pub answered: bool,
@@ -137,7 +137,7 @@
     useful: bool,
     /// Set-ups that are not in hand yet.
     arrived: usize,
-    open: BTreeSet<Sess>,
+    open: BTreeSet<SessionId>,
     standing: usize,
     /// It is to be closed if nothing has come meanwhile.
     closing: bool,
@@ -168,28 +168,28 @@
 
 pub struct Board {
     pub(crate) site: Site,
-    start: Start,
+    start: EngineConfig,
     pub(crate) bounds: Bounds,
     engine: Option<Engine>,
     /// When the first round is, once that is known.
     begins: Option<Instant>,
     pub(crate) inputs: Vec<Input>,
     pub(crate) actions: Vec<Action>,
-    pub(crate) calls: BTreeMap<Sess, Call>,
-    pub(crate) tags: BTreeMap<Tag, Sess>,
+    pub(crate) calls: BTreeMap<SessionId, Call>,
+    pub(crate) tags: BTreeMap<Tag, SessionId>,
     next_sess: u64,
     arrivals: VecDeque<Arrival>,
     viewers: BTreeMap<Link, Viewer>,
     /// Descriptors that viewers' and nodes' connections may hold.
     descriptors: [usize; 2],
     releases: VecDeque<Release>,
-    pub(crate) peers: BTreeMap<Node, Peer>,
+    pub(crate) peers: BTreeMap<NodeId, Peer>,
     pub(crate) trunks: BTreeMap<Trunk, Line>,
     pub(crate) next_trunk: u64,
     pub(crate) next_echo: u64,
     /// Connections to nodes that we hung up, until their last word.
-    pub(crate) hung_up: BTreeMap<Trunk, Node>,
-    pub(crate) given_up: VecDeque<(Node, Tag)>,
+    pub(crate) hung_up: BTreeMap<Trunk, NodeId>,
+    pub(crate) given_up: VecDeque<(NodeId, Tag)>,
     look_at: Instant,
     stopping: Option<Instant>,
 }
@@ -199,12 +199,12 @@
         let site = config.site.clone();
         let bounds = Bounds::of(config.limits.memory_mb);
         let spare = config.limits.sockets.saturating_sub(OWN_DESCRIPTORS).max(2);
-        let start = Start {
-            headend: site.headend.clone(),
+        let start = EngineConfig {
+            director: site.headend.clone(),
             answer_margin: Span::from_ms(ANSWER_MARGIN_MS),
             probe_timeout: site.dial_timeout,
-            most_sessions: bounds.sessions,
-            door: None,
+            max_sessions: bounds.sessions,
+            admission: None,
         };
         Board {
             start,
@@ -259,7 +259,7 @@
     }
 
     pub fn next_due(&self) -> Instant {
-        let engine = self.engine.as_ref().and_then(Engine::next_due);
+        let engine = self.engine.as_ref().and_then(Engine::next_deadline);
         let arrived = self.arrivals.front().map(|arrival| arrival.at);
         [Some(self.look_at), self.begins, arrived, engine].into_iter().flatten().min().unwrap_or(self.look_at)
     }
@@ -286,10 +286,10 @@
         }
         if self.begins.is_some_and(|at| at <= now) {
             self.begins = None;
-            self.engine = Some(Engine::start(self.start.clone(), now));
+            self.engine = Some(Engine::new(self.start.clone(), now));
         }
         while let Some(engine) = &mut self.engine {
-            if self.inputs.is_empty() && engine.next_due().is_none_or(|due| due > now) {
+            if self.inputs.is_empty() && engine.next_deadline().is_none_or(|due| due > now) {
                 break;
             }
             for effect in engine.round(now, std::mem::take(&mut self.inputs)) {
@@ -333,23 +333,25 @@
 
     fn act(&mut self, now: Instant, effect: Effect) {
         match effect {
-            Effect::Setup { sess, setup, node, rung, until } => {
+            Effect::SendSetup { session: sess, setup, node, rung, deadline: until } => {
                 self.set_up(now, sess, Out { setup, node, rung, until, sent: None });
             }
-            Effect::Withdraw { sess, setup, if_unsent } => self.withdraw(now, sess, setup, if_unsent),
-            Effect::Answer { sess, answer } => self.answer(now, sess, answer),
-            Effect::Rung { sess, rung } => self.change_rung(now, sess, rung),
-            Effect::Release { sess } => self.release(now, sess),
-            Effect::SendBack { sess } => {
+            Effect::CancelSetup { session: sess, setup, if_unsent } => {
+                self.withdraw(now, sess, setup, if_unsent)
+            }
+            Effect::Respond { session: sess, response: answer } => self.answer(now, sess, answer),
+            Effect::ChangeRung { session: sess, rung } => self.change_rung(now, sess, rung),
+            Effect::ReleaseSession { session: sess } => self.release(now, sess),
+            Effect::ReconnectViewer { session: sess } => {
                 let tag = self.calls.get(&sess).map(|call| call.tag);
                 if let Some(line) = tag.and_then(|tag| message::write(Verb::Move, tag, &[], None, None)) {
                     self.tell_viewer(sess, line);
                 }
                 self.release(now, sess);
-                self.inputs.push(Input::Over { sess, how: Ending::Cancelled });
+                self.inputs.push(Input::SessionEnded { session: sess, outcome: AttemptOutcome::Cancelled });
             }
-            Effect::Probe { probe, node } => self.probe(now, probe, node),
-            Effect::Listed { .. } | Effect::Drained => {}
+            Effect::SendProbe { probe, node } => self.probe(now, probe, node),
+            Effect::DiscoveryResult { .. } | Effect::Drained => {}
         }
     }
 
@@ -548,7 +550,7 @@
             return self.refuse(link, tag, causes::CONGESTED);
         }
         let Some(sess) = self.take_in_hand(now, link, tag, Some(Box::new(ask)), None) else { return };
-        self.inputs.push(Input::Asked { sess, want });
+        self.inputs.push(Input::SessionRequested { session: sess, request: want });
     }
 
     /// A set-up that is to be answered, or a session that stands at a node already.
@@ -558,10 +560,10 @@
         link: Link,
         tag: Tag,
         ask: Option<Box<Ask>>,
-        at: Option<(Node, Instant)>,
-    ) -> Option<Sess> {
+        at: Option<(NodeId, Instant)>,
+    ) -> Option<SessionId> {
         let viewer = self.viewers.get_mut(&link)?;
-        let (sess, from, answered) = (Sess(self.next_sess), viewer.from, at.is_some());
+        let (sess, from, answered) = (SessionId(self.next_sess), viewer.from, at.is_some());
         self.next_sess += 1;
         if answered {
             viewer.standing += 1;
@@ -579,35 +581,35 @@
         let node = id_of(name);
         if self.peers.get(&node).is_some_and(|peer| peer.removed) {
             // Its node is gone: nobody would ever say that it is over.
-            return self.refuse(link, tag, causes::of_over(Ending::Lost));
+            return self.refuse(link, tag, causes::of_over(AttemptOutcome::Lost));
         }
         if self.calls.len() >= self.bounds.sessions {
             return self.refuse(link, tag, causes::CONGESTED);
         }
         self.named(now, node, name);
         let Some(sess) = self.take_in_hand(now, link, tag, None, Some((node, now))) else { return };
-        self.inputs.push(Input::UnderWay { sess, want: ask.want, node });
+        self.inputs.push(Input::SessionHandedOver { session: sess, request: ask.want, node });
         self.stands(now, sess, node);
     }
 
     /// The viewer gave up, ended the session or was lost.
-    fn leave(&mut self, sess: Sess) {
+    fn leave(&mut self, sess: SessionId) {
         let Some(call) = self.calls.get_mut(&sess) else { return };
         call.answered = true;
         let link = call.link;
         if let Some(viewer) = self.viewers.get_mut(&link) {
             viewer.open.remove(&sess);
         }
-        self.inputs.push(Input::Left { sess });
+        self.inputs.push(Input::ViewerLeft { session: sess });
         self.recall_unsent(sess);
         self.settle(sess);
     }
 
-    fn answer(&mut self, now: Instant, sess: Sess, answer: Answer) {
+    fn answer(&mut self, now: Instant, sess: SessionId, answer: SessionResponse) {
         let Some(call) = self.calls.get_mut(&sess) else { return };
         call.answered = true;
         let (tag, link) = (call.tag, call.link);
-        let plays = matches!(answer, Answer::Plays { .. });
+        let plays = matches!(answer, SessionResponse::Plays { .. });
         let described = call.description.take();
         let line = match &described {
             Some(text) if plays => message::write(Verb::Started, tag, &[], None, Some(text)),
@@ -623,7 +625,7 @@
     }
 
     /// On the connection of its set-up, or on any other of the same client.
-    pub(crate) fn tell_viewer(&mut self, sess: Sess, line: Bytes) {
+    pub(crate) fn tell_viewer(&mut self, sess: SessionId, line: Bytes) {
         let Some(call) = self.calls.get(&sess) else { return };
         let (own, from) = (call.link, call.from);
         if let Some(link) = self.connection_of(from, Some(own)) {
@@ -654,8 +656,8 @@
     }
 
     /// A session that stood is over: its viewer is released, if owed, and nothing is kept.
-    pub(crate) fn over(&mut self, now: Instant, sess: Sess, how: Ending, owed: bool) {
-        self.inputs.push(Input::Over { sess, how });
+    pub(crate) fn over(&mut self, now: Instant, sess: SessionId, how: AttemptOutcome, owed: bool) {
+        self.inputs.push(Input::SessionEnded { session: sess, outcome: how });
         let Some(call) = self.calls.get(&sess) else { return };
         let (tag, from, link) = (call.tag, call.from, call.link);
         let line = message::write(Verb::Finish, tag, &[], Some(causes::of_over(how)), None);
@@ -666,7 +668,7 @@
         self.settle(sess);
     }
 
-    pub(crate) fn forget_standing(&mut self, sess: Sess) {
+    pub(crate) fn forget_standing(&mut self, sess: SessionId) {
         let Some(call) = self.calls.get_mut(&sess) else { return };
         let Some((node, _)) = call.at.take() else { return };
         if let Some(peer) = self.peers.get_mut(&node) {
@@ -678,7 +680,7 @@
     }
 
     /// Lets go of a session of which nothing is open any longer.
-    pub(crate) fn settle(&mut self, sess: Sess) {
+    pub(crate) fn settle(&mut self, sess: SessionId) {
         let over = |call: &Call| call.answered && call.out.is_none() && call.at.is_none();
         if self.calls.get(&sess).is_some_and(over)
             && let Some(call) = self.calls.remove(&sess)
--- a/crates/shared/src/lib.rs
+++ b/crates/shared/src/lib.rs
@@ -11,7 +11,7 @@
 
 use std::hash::Hasher;
 
-use ashglade::interface::Ending;
+use ashglade::interface::AttemptOutcome;
 use ashglade::time::Span;
 use siphasher::sip::SipHasher13;
 
@@ -120,12 +120,14 @@
 
 /// Returns the health of a node as shown by the outcome of a SETUP (`None`: it succeeded), if it shows any. A
 /// node that rejects a SETUP because it is full is working.
-pub fn verdict(ended: Option<Ending>) -> Option<Verdict> {
+pub fn verdict(ended: Option<AttemptOutcome>) -> Option<Verdict> {
     match ended {
-        None | Some(Ending::Full) => Some(Verdict::Well),
-        Some(Ending::Silent) => Some(Verdict::Silent),
-        Some(Ending::Unreachable | Ending::Fault | Ending::Lost) => Some(Verdict::Failing),
-        Some(Ending::Unsent | Ending::Cancelled | Ending::Played) => None,
+        None | Some(AttemptOutcome::Full) => Some(Verdict::Well),
+        Some(AttemptOutcome::Silent) => Some(Verdict::Silent),
+        Some(AttemptOutcome::Unreachable | AttemptOutcome::Fault | AttemptOutcome::Lost) => {
+            Some(Verdict::Failing)
+        }
+        Some(AttemptOutcome::Unsent | AttemptOutcome::Cancelled | AttemptOutcome::Played) => None,
     }
 }
 
