--- a/crates/admission/src/fair.rs
+++ b/crates/admission/src/fair.rs
@@ -15,12 +15,12 @@
 use ashglade::time::Instant;
 use siphasher::sip::SipHasher13;
 
-use crate::Request;
+use crate::AdmissionRequest;
 
 /// A request that waits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ticket {
-    pub request: Request,
+    pub request: AdmissionRequest,
     pub since: Instant,
     /// It is sent away if it hasn't gone in by then.
     pub until: Instant,
@@ -262,8 +262,8 @@
         group.pop()
     }
 
-    pub fn remove(&mut self, sess: SessionId) -> bool {
-        self.groups.iter_mut().any(|group| !group.take(|ticket| ticket.request.sess == sess).is_empty())
+    pub fn remove(&mut self, session: SessionId) -> bool {
+        self.groups.iter_mut().any(|group| !group.take(|ticket| ticket.request.session == session).is_empty())
     }
 
     /// Those that have waited as long as they may.
--- a/crates/admission/src/later.rs
+++ b/crates/admission/src/later.rs
@@ -27,7 +27,7 @@
     tidied: Instant,
     /// What retries that come before their time may still use.
     budget: f64,
-    pub kept: Kept,
+    pub kept: RetryCounters,
 }
 
 /// What one client was told.
@@ -42,14 +42,19 @@
 
 /// What became of promises.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
-    pub made: u64,
-    /// Came back at their moment, and of those, went in.
-    pub came: u64,
-    pub went_in: u64,
-    /// Came before their moment, and of those, were sent away for it.
-    pub early: u64,
-    pub refused: u64,
+pub struct RetryCounters {
+    #[serde(rename = "made")]
+    pub slots_reserved: u64,
+    /// SetupOutcome back at their moment, and of those, went in.
+    #[serde(rename = "came")]
+    pub returned_in_slot: u64,
+    #[serde(rename = "went_in")]
+    pub admitted: u64,
+    /// SetupOutcome before their moment, and of those, were sent away for it.
+    #[serde(rename = "early")]
+    pub returned_early: u64,
+    #[serde(rename = "refused")]
+    pub rejected_early: u64,
 }
 
 /// How a request comes.
@@ -122,7 +127,7 @@
             promises: BTreeMap::new(),
             tidied: now,
             budget: 0.0,
-            kept: Kept::default(),
+            kept: RetryCounters::default(),
         }
     }
 
@@ -135,16 +140,16 @@
             return Coming::First;
         };
         if now < at {
-            self.kept.early += 1;
+            self.kept.returned_early += 1;
             if self.budget < 1.0 {
-                self.kept.refused += 1;
+                self.kept.rejected_early += 1;
                 return Coming::TooMany;
             }
             self.budget -= 1.0;
             return Coming::Early;
         }
         if room && now - at <= Span::from_secs(KEPT) {
-            self.kept.came += 1;
+            self.kept.returned_in_slot += 1;
             return Coming::Promised;
         }
         Coming::Again
@@ -152,7 +157,7 @@
 
     /// A client's request went in: what it was told before is done with.
     pub fn went_in(&mut self, client: u64, promised: bool) {
-        self.kept.went_in += u64::from(promised);
+        self.kept.admitted += u64::from(promised);
         self.promises.remove(&client);
     }
 
@@ -162,7 +167,7 @@
             self.promises.retain(|_, promise| now - promise.at <= Span::from_secs(KEPT));
         }
         if self.promises.len() < MOST_PROMISES || self.promises.contains_key(&client) {
-            self.kept.made += u64::from(promise.room);
+            self.kept.slots_reserved += u64::from(promise.room);
             self.promises.insert(client, promise);
         }
     }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -2,7 +2,7 @@
 //! in which order those that wait go in, and when those that are sent away are told to come back. Who plays, and
 //! where, is the module's.
 //!
-//! [`Door::offer`] takes a request, [`Door::done`] tells how one that went in came out, [`Door::round`] gives what is to
+//! [`AdmissionController::offer`] takes a request, [`AdmissionController::done`] tells how one that went in came out, [`AdmissionController::round`] gives what is to
 //! be done now. There is no I/O, no clock and no thread in it.
 //!
 //! - [`limit`] learns how much may be in hand at once, from how long set-ups take and how many are turned away;
@@ -21,31 +21,32 @@
 
 use fair::{Fair, Ticket};
 use heavy::Heavy;
-use later::{Coming, Kept, Later};
+use later::{Coming, Later, RetryCounters};
 use limit::Limit;
 
 /// What the door is set up with.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct AdmissionConfig {
     pub seed: u64,
     /// By service group: its weight, and the utility of one session.
     pub groups: Vec<(f64, f64)>,
     /// Weights of tenants within a group; one at least.
-    pub tenants: Vec<f64>,
+    pub tenant_weights: Vec<f64>,
     /// The shortest start target.
-    pub target: Span,
+    pub min_start_target: Span,
     /// Longest retry-after that may be told; none is told without.
-    pub retry_after: Option<Span>,
+    pub max_retry_after: Option<Span>,
     /// Requests that wait at most.
-    pub most_waiting: usize,
+    pub max_waiting: usize,
     /// In hand at once: at the beginning, at least, and at most.
-    pub hands: (f64, f64, f64),
+    pub concurrency_limits: (f64, f64, f64),
 }
 
 /// A request at the door.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Request {
-    pub sess: SessionId,
+pub struct AdmissionRequest {
+    #[serde(rename = "sess")]
+    pub session: SessionId,
     pub group: GroupId,
     /// By its place among the tenants of the terms.
     #[serde(default)]
@@ -59,8 +60,8 @@
 
 /// How a request that went in came out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Came {
-    Plays,
+pub enum SetupOutcome {
+    Started,
     /// The module had no room, or nodes were full.
     Busy,
     /// The viewer left, or it was torn down: tells nothing of room.
@@ -69,16 +70,16 @@
 
 /// What is to be done with a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Verdict {
+pub enum AdmissionDecision {
     /// It goes to the module now, having waited so long.
-    In { sess: SessionId, waited: Span },
+    Admit { session: SessionId, waited: Span },
     /// It is busy-replied now.
-    Away { sess: SessionId, retry_after: Option<Span>, why: Turned },
+    Reject { session: SessionId, retry_after: Option<Span>, reason: RejectReason },
 }
 
 /// Why a request is sent away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Turned {
+pub enum RejectReason {
     /// All places to wait are taken, and its group is the one most over its share.
     NoPlace,
     /// Its turn would not come in time.
@@ -90,28 +91,37 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tally {
+pub struct AdmissionCounters {
     pub offered: u64,
-    pub let_in: u64,
-    pub waited: u64,
+    #[serde(rename = "let_in")]
+    pub admitted: u64,
+    #[serde(rename = "waited")]
+    pub admitted_after_waiting: u64,
     /// Sent away: no place to wait, would have waited too long, or did.
-    pub no_place: u64,
-    pub hopeless: u64,
-    pub too_long: u64,
-    /// Came before they were told, and beyond the budget of such retries.
-    pub too_early: u64,
+    #[serde(rename = "no_place")]
+    pub queue_full: u64,
+    #[serde(rename = "hopeless")]
+    pub deadline_unreachable: u64,
+    #[serde(rename = "too_long")]
+    pub wait_expired: u64,
+    /// SetupOutcome before they were told, and beyond the budget of such retries.
+    #[serde(rename = "too_early")]
+    pub retried_early: u64,
 }
 
 /// The door as operators see it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct View {
+pub struct AdmissionStatus {
     /// Set-ups that may be in hand at once, and that are.
     pub limit: f64,
-    pub inside: usize,
+    #[serde(rename = "inside")]
+    pub in_flight: usize,
     /// By service group.
     pub waiting: Vec<usize>,
-    pub tally: Tally,
-    pub promises: Kept,
+    #[serde(rename = "tally")]
+    pub counters: AdmissionCounters,
+    #[serde(rename = "promises")]
+    pub retries: RetryCounters,
 }
 
 /// A part of the start target is the most that anyone waits: the rest is for the set-up itself.
@@ -122,8 +132,8 @@
 const LOOKS: f64 = 20.0;
 
 #[derive(Debug)]
-pub struct Door {
-    terms: Terms,
+pub struct AdmissionController {
+    terms: AdmissionConfig,
     limit: Limit,
     fair: Fair,
     heavy: Heavy,
@@ -135,44 +145,44 @@
     /// Nothing more goes in just now, whatever the limit.
     held: bool,
     /// What is to be done since the last round.
-    verdicts: Vec<Verdict>,
-    pub tally: Tally,
+    verdicts: Vec<AdmissionDecision>,
+    pub counters: AdmissionCounters,
 }
 
-impl Door {
-    pub fn new(terms: Terms, now: Instant) -> Door {
-        Door {
-            limit: Limit::new(terms.hands, terms.target, now),
-            fair: Fair::new(&terms.groups, &terms.tenants, terms.most_waiting, terms.seed),
+impl AdmissionController {
+    pub fn new(terms: AdmissionConfig, now: Instant) -> AdmissionController {
+        AdmissionController {
+            limit: Limit::new(terms.concurrency_limits, terms.min_start_target, now),
+            fair: Fair::new(&terms.groups, &terms.tenant_weights, terms.max_waiting, terms.seed),
             heavy: Heavy::new(terms.seed, now),
-            later: Later::new(terms.retry_after, terms.target, terms.seed, now),
+            later: Later::new(terms.max_retry_after, terms.min_start_target, terms.seed, now),
             inside: std::collections::BTreeMap::new(),
             looked: now,
             held: false,
             verdicts: Vec::new(),
-            tally: Tally::default(),
+            counters: AdmissionCounters::default(),
             terms,
         }
     }
 
     /// Requests that wait, and that went in and have not come out.
-    pub fn held(&self) -> (usize, usize) {
+    pub fn waiting_and_in_flight(&self) -> (usize, usize) {
         (self.fair.len(), self.inside.len())
     }
 
     /// What is to be seen of the door just now.
-    pub fn view(&self) -> View {
-        View {
+    pub fn status(&self) -> AdmissionStatus {
+        AdmissionStatus {
             limit: self.limit.now(),
-            inside: self.inside.len(),
+            in_flight: self.inside.len(),
             waiting: self.fair.waiting(),
-            tally: self.tally.clone(),
-            promises: self.later.kept.clone(),
+            counters: self.counters.clone(),
+            retries: self.later.kept.clone(),
         }
     }
 
     /// Nothing more goes in just now, though the limit is not reached: what is in hand takes too long.
-    pub fn holds(&self) -> bool {
+    pub fn is_paused(&self) -> bool {
         self.held
     }
 
@@ -181,80 +191,80 @@
         self.limit.now()
     }
 
-    /// A request comes. It waits in its queue; [`Door::round`] says what becomes of it.
-    pub fn offer(&mut self, request: Request, now: Instant) {
-        self.tally.offered += 1;
+    /// A request comes. It waits in its queue; [`AdmissionController::round`] says what becomes of it.
+    pub fn offer(&mut self, request: AdmissionRequest, now: Instant) {
+        self.counters.offered += 1;
         let coming = self.later.came(request.client, now);
         let heavy = self.heavy.asks(request.client, now);
         let patience = (request.start_target * WAIT_PART).min(request.setup_timeout * TIMEOUT_PART);
         let promised = coming == Coming::Promised && heavy.is_none();
         let ticket = Ticket { request, since: now, until: now + patience, promised, heavy };
         if coming == Coming::TooMany {
-            self.send_away(ticket, Turned::TooEarly, now);
+            self.send_away(ticket, RejectReason::TooEarly, now);
         } else if let Err(turned) = self.fair.push(ticket) {
-            self.send_away(turned, Turned::NoPlace, now);
+            self.send_away(turned, RejectReason::NoPlace, now);
         }
     }
 
     /// The viewer of a request that waits has gone; false if it doesn't wait here.
-    pub fn left(&mut self, sess: SessionId) -> bool {
-        self.fair.remove(sess)
+    pub fn cancel(&mut self, session: SessionId) -> bool {
+        self.fair.remove(session)
     }
 
     /// A request that went in has come out.
-    pub fn done(&mut self, sess: SessionId, how: Came, now: Instant) {
-        let Some(since) = self.inside.remove(&sess) else { return };
+    pub fn complete(&mut self, session: SessionId, how: SetupOutcome, now: Instant) {
+        let Some(since) = self.inside.remove(&session) else { return };
         self.limit.came(now - since, how, self.inside.len() + 1, now);
-        if how == Came::Plays {
+        if how == SetupOutcome::Started {
             self.later.served(now);
         }
     }
 
-    fn send_away(&mut self, ticket: Ticket, why: Turned, now: Instant) {
-        *match why {
-            Turned::NoPlace => &mut self.tally.no_place,
-            Turned::Hopeless => &mut self.tally.hopeless,
-            Turned::TooLong => &mut self.tally.too_long,
-            Turned::TooEarly => &mut self.tally.too_early,
+    fn send_away(&mut self, ticket: Ticket, reason: RejectReason, now: Instant) {
+        *match reason {
+            RejectReason::NoPlace => &mut self.counters.queue_full,
+            RejectReason::Hopeless => &mut self.counters.deadline_unreachable,
+            RejectReason::TooLong => &mut self.counters.wait_expired,
+            RejectReason::TooEarly => &mut self.counters.retried_early,
         } += 1;
-        let Request { sess, client, .. } = ticket.request;
+        let AdmissionRequest { session, client, .. } = ticket.request;
         let retry_after = self.later.when(client, ticket.heavy.is_some(), now);
-        self.verdicts.push(Verdict::Away { sess, retry_after, why });
+        self.verdicts.push(AdmissionDecision::Reject { session, retry_after, reason });
     }
 
     /// What is to be done now. Whoever waits too long is told so at once; then as many go in as there is room for.
-    pub fn round(&mut self, now: Instant) -> Vec<Verdict> {
+    pub fn poll(&mut self, now: Instant) -> Vec<AdmissionDecision> {
         for ticket in self.fair.overdue(now) {
-            self.send_away(ticket, Turned::TooLong, now);
+            self.send_away(ticket, RejectReason::TooLong, now);
         }
         self.held = self.limit.held(self.inside.values().map(|&since| now - since));
-        let room = |this: &Door| !this.held && (this.inside.len() as f64) < this.limit.now();
+        let room = |this: &AdmissionController| !this.held && (this.inside.len() as f64) < this.limit.now();
         while room(self)
             && let Some(ticket) = self.fair.pop()
         {
-            let (sess, waited) = (ticket.request.sess, now - ticket.since);
-            self.inside.insert(sess, now);
+            let (session, waited) = (ticket.request.session, now - ticket.since);
+            self.inside.insert(session, now);
             self.later.went_in(ticket.request.client, ticket.promised);
-            self.tally.let_in += 1;
-            self.tally.waited += u64::from(waited > Span::ZERO);
-            self.verdicts.push(Verdict::In { sess, waited });
+            self.counters.admitted += 1;
+            self.counters.admitted_after_waiting += u64::from(waited > Span::ZERO);
+            self.verdicts.push(AdmissionDecision::Admit { session, waited });
         }
         // Those whose turn can't come in time aren't kept until it has not come.
-        if now - self.looked >= self.terms.target * (1.0 / LOOKS)
+        if now - self.looked >= self.terms.min_start_target * (1.0 / LOOKS)
             && let Some(rate) = self.limit.rate(now)
         {
             self.looked = now;
             for ticket in self.fair.hopeless(now, rate) {
-                self.send_away(ticket, Turned::Hopeless, now);
+                self.send_away(ticket, RejectReason::Hopeless, now);
             }
         }
         std::mem::take(&mut self.verdicts)
     }
 
     /// When the next round is due if nothing comes before: at once if some of those that wait may go in.
-    pub fn next_due(&self, now: Instant) -> Option<Instant> {
+    pub fn next_deadline(&self, now: Instant) -> Option<Instant> {
         let room = !self.held && (self.inside.len() as f64) < self.limit.now();
-        let after = if room { Span::ZERO } else { self.terms.target * (1.0 / LOOKS) };
+        let after = if room { Span::ZERO } else { self.terms.min_start_target * (1.0 / LOOKS) };
         (!self.fair.is_empty()).then(|| now + after)
     }
 }
--- a/crates/admission/src/limit.rs
+++ b/crates/admission/src/limit.rs
@@ -6,7 +6,7 @@
 
 use ashglade::time::{Instant, Span};
 
-use crate::Came;
+use crate::SetupOutcome;
 
 /// Out of a round of set-ups, as many as are in hand: the limit changes once in one.
 #[derive(Debug)]
@@ -105,8 +105,8 @@
     }
 
     /// A set-up came out after `took`, with so many in hand, itself included.
-    pub fn came(&mut self, took: Span, how: Came, in_hand: usize, now: Instant) {
-        if how == Came::Other {
+    pub fn came(&mut self, took: Span, how: SetupOutcome, in_hand: usize, now: Instant) {
+        if how == SetupOutcome::Other {
             return;
         }
         if self.probes {
@@ -120,7 +120,7 @@
         }
         self.count += 1.0;
         match how {
-            Came::Busy => self.busy += 1.0,
+            SetupOutcome::Busy => self.busy += 1.0,
             _ => {
                 self.time += took.as_ms();
                 self.least_time = self.least_time.min(took.as_ms());
--- a/crates/admission/src/tests.rs
+++ b/crates/admission/src/tests.rs
@@ -22,7 +22,7 @@
 struct Came1 {
     asked: usize,
     served: usize,
-    /// Came back as told, and went in within the start target then.
+    /// SetupOutcome back as told, and went in within the start target then.
     back: usize,
     back_well: usize,
     away: usize,
@@ -36,28 +36,34 @@
     /// Most that came back within a tenth of a second.
     herd: usize,
     by_client: BTreeMap<u64, usize>,
-    kept: later::Kept,
+    kept: later::RetryCounters,
 }
 
-fn terms(weights: &[f64]) -> Terms {
-    Terms {
+fn terms(weights: &[f64]) -> AdmissionConfig {
+    AdmissionConfig {
         seed: 5,
         groups: weights.iter().map(|&w| (w, 1.0)).collect(),
-        tenants: vec![1.0],
-        target: Span::from_secs(1.0),
-        retry_after: Some(Span::from_secs(8.0)),
-        most_waiting: 400,
-        hands: (8.0, 2.0, 1000.0),
+        tenant_weights: vec![1.0],
+        min_start_target: Span::from_secs(1.0),
+        max_retry_after: Some(Span::from_secs(8.0)),
+        max_waiting: 400,
+        concurrency_limits: (8.0, 2.0, 1000.0),
     }
 }
 
 /// Set-ups are served `at_once` at a time, each in `takes` seconds; what is more waits behind them. `fair` off lets
 /// everything in as it comes.
-fn day(terms: Terms, crowds: &[Crowd], secs: f64, (at_once, takes): (usize, f64), fair: bool) -> Day {
+fn day(
+    terms: AdmissionConfig,
+    crowds: &[Crowd],
+    secs: f64,
+    (at_once, takes): (usize, f64),
+    fair: bool,
+) -> Day {
     let mut random = oorandom::Rand64::new(9);
     let at = |secs: f64| Instant::from_ms(secs * 1e3);
     let groups = terms.groups.len();
-    let mut door = Door::new(terms, at(0.0));
+    let mut door = AdmissionController::new(terms, at(0.0));
     // Times at which requests come, with group, client, and whether it came back.
     let mut coming: BTreeMap<(u64, u64), (usize, u64, bool)> = BTreeMap::new();
     let mut number = 0u64;
@@ -79,7 +85,7 @@
         most_held: 0,
         herd: 0,
         by_client: BTreeMap::new(),
-        kept: later::Kept::default(),
+        kept: later::RetryCounters::default(),
     };
     let mut known: BTreeMap<SessionId, (usize, u64, f64, bool)> = BTreeMap::new();
     let mut queue: std::collections::VecDeque<SessionId> = Default::default();
@@ -93,22 +99,29 @@
             coming.first_key_value().filter(|((w, _), _)| *w as f64 / 1e6 <= t)
         {
             coming.remove(&(when, n));
-            let sess = SessionId(n);
-            known.insert(sess, (group, client, t, back));
+            let session = SessionId(n);
+            known.insert(session, (group, client, t, back));
             day.groups[group].asked += usize::from(!back);
             let (start_target, setup_timeout) = (Span::from_secs(1.0), Span::from_secs(3.0));
             door.offer(
-                Request { sess, group: GroupId(group), tenant: 0, client, start_target, setup_timeout },
+                AdmissionRequest {
+                    session,
+                    group: GroupId(group),
+                    tenant: 0,
+                    client,
+                    start_target,
+                    setup_timeout,
+                },
                 now,
             );
             if !fair {
-                queue.push_back(sess);
+                queue.push_back(session);
             }
         }
-        serving.retain(|&(until, sess)| {
+        serving.retain(|&(until, session)| {
             if until <= t {
-                door.done(sess, Came::Plays, now);
-                let (group, client, came, back) = known[&sess];
+                door.complete(session, SetupOutcome::Started, now);
+                let (group, client, came, back) = known[&session];
                 if t - came <= 1.0 {
                     day.groups[group].served += 1;
                     *day.by_client.entry(client).or_default() += 1;
@@ -117,15 +130,15 @@
             }
             until > t
         });
-        for verdict in door.round(now) {
+        for verdict in door.poll(now) {
             match verdict {
-                Verdict::In { sess, waited } if fair => {
-                    let group = known[&sess].0;
+                AdmissionDecision::Admit { session, waited } if fair => {
+                    let group = known[&session].0;
                     day.groups[group].longest_wait = day.groups[group].longest_wait.max(waited.as_ms());
-                    queue.push_back(sess);
+                    queue.push_back(session);
                 }
-                Verdict::Away { sess, retry_after, .. } if fair => {
-                    let (group, client, _, back) = known[&sess];
+                AdmissionDecision::Reject { session, retry_after, .. } if fair => {
+                    let (group, client, _, back) = known[&session];
                     day.groups[group].away += 1;
                     if let Some(after) = retry_after.filter(|_| !back) {
                         let when = t + after.as_ms() / 1e3;
@@ -139,16 +152,16 @@
             }
         }
         while serving.len() < at_once
-            && let Some(sess) = queue.pop_front()
+            && let Some(session) = queue.pop_front()
         {
-            serving.push((t + takes, sess));
+            serving.push((t + takes, session));
         }
         if t > secs * 0.3 {
             day.limit = (day.limit.0.min(door.limit()), day.limit.1.max(door.limit()));
         }
-        day.most_held = day.most_held.max(door.held().0);
+        day.most_held = day.most_held.max(door.waiting_and_in_flight().0);
     }
-    day.kept = door.view().promises;
+    day.kept = door.status().retries;
     day.herd = backs.values().copied().max().unwrap_or(0);
     day
 }
@@ -200,8 +213,8 @@
         g.back,
         100.0 * g.back_well as f64 / g.back as f64,
         day.herd,
-        day.kept.came,
-        day.kept.went_in
+        day.kept.returned_in_slot,
+        day.kept.admitted
     );
     expect!["443 sent away, 346 came back as told, 72% of them then set up in time; at most 11 in a tenth of a second; to room set aside 196, 196 went in"].assert_eq(&told);
 }
@@ -213,7 +226,7 @@
     let others = Crowd { group: 0, rate: 10.0, clients: 500, from: 0.0, to: 30.0 };
     // Group 1 is where the many come from, so that client numbers differ.
     let mut world = terms(&[1.0]);
-    world.retry_after = None;
+    world.max_retry_after = None;
     let both = day(world, &[heavy, Crowd { clients: 501, ..others }], 30.0, (2, 0.1), true);
     let loud = both.by_client.get(&0).copied().unwrap_or(0);
     let rest: usize = both.by_client.iter().filter(|(client, _)| **client != 0).map(|(_, n)| n).sum();
@@ -261,13 +274,13 @@
 
 #[test]
 fn places_to_wait_are_bounded_and_the_group_over_its_share_gives_them_up() {
-    let mut door = Door::new(
-        Terms { most_waiting: 10, hands: (0.0, 0.0, 0.0), ..terms(&[1.0, 1.0]) },
+    let mut door = AdmissionController::new(
+        AdmissionConfig { max_waiting: 10, concurrency_limits: (0.0, 0.0, 0.0), ..terms(&[1.0, 1.0]) },
         Instant::from_ms(0.0),
     );
     let now = Instant::from_ms(1.0);
-    let request = |n: u64, group: usize| Request {
-        sess: SessionId(n),
+    let request = |n: u64, group: usize| AdmissionRequest {
+        session: SessionId(n),
         group: GroupId(group),
         tenant: 0,
         client: n,
@@ -277,25 +290,25 @@
     (0..20).for_each(|n| door.offer(request(n, 0), now));
     (20..23).for_each(|n| door.offer(request(n, 1), now));
     let away: Vec<u64> = door
-        .round(now)
+        .poll(now)
         .iter()
         .map(|v| match v {
-            Verdict::In { sess, .. } | Verdict::Away { sess, .. } => sess.0,
+            AdmissionDecision::Admit { session, .. } | AdmissionDecision::Reject { session, .. } => session.0,
         })
         .collect();
-    assert_eq!((away.len(), door.held()), (13, (10, 0)));
+    assert_eq!((away.len(), door.waiting_and_in_flight()), (13, (10, 0)));
     assert!(away.iter().all(|&n| n < 20), "only the flood gives up places: {away:?}");
-    assert!(door.left(SessionId(21)) && !door.left(SessionId(21)));
+    assert!(door.cancel(SessionId(21)) && !door.cancel(SessionId(21)));
     // Whoever waited as long as it may is told then, not at its setup timeout.
-    let told = door.round(Instant::from_ms(502.0)).len();
-    assert_eq!((told, door.held()), (9, (0, 0)));
+    let told = door.poll(Instant::from_ms(502.0)).len();
+    assert_eq!((told, door.waiting_and_in_flight()), (9, (0, 0)));
 }
 
 /// Viewers that come back every tenth of a second, whatever they are told, unless they heed it. What is served a second
 /// of the 10 that come, twenty seconds after a crowd of ten times what can be served; and how many were sent away early.
 fn storm(known_again: bool) -> (f64, u64) {
     let at = |secs: f64| Instant::from_ms(secs * 1e3);
-    let mut door = Door::new(terms(&[1.0]), at(0.0));
+    let mut door = AdmissionController::new(terms(&[1.0]), at(0.0));
     let mut number = 0u64;
     let mut known: BTreeMap<SessionId, u64> = BTreeMap::new();
     let mut coming: BTreeMap<(u64, u64), u64> = BTreeMap::new();
@@ -320,8 +333,8 @@
             // Not known again, each retry is taken for somebody new.
             let client = if known_again { client } else { number };
             door.offer(
-                Request {
-                    sess: SessionId(number),
+                AdmissionRequest {
+                    session: SessionId(number),
                     group: GroupId(0),
                     tenant: 0,
                     client,
@@ -331,29 +344,29 @@
                 at(t),
             );
         }
-        serving.retain(|&(until, sess)| {
+        serving.retain(|&(until, session)| {
             if until <= t {
-                door.done(sess, Came::Plays, at(t));
+                door.complete(session, SetupOutcome::Started, at(t));
                 served += u64::from(t > 20.0);
             }
             until > t
         });
-        for verdict in door.round(at(t)) {
+        for verdict in door.poll(at(t)) {
             match verdict {
-                Verdict::In { sess, .. } => queue.push_back(sess),
-                Verdict::Away { sess, .. } => {
+                AdmissionDecision::Admit { session, .. } => queue.push_back(session),
+                AdmissionDecision::Reject { session, .. } => {
                     number += 1;
-                    coming.insert((((t + 0.1) * 1e6) as u64, number), known[&sess]);
+                    coming.insert((((t + 0.1) * 1e6) as u64, number), known[&session]);
                 }
             }
         }
         while serving.len() < 2
-            && let Some(sess) = queue.pop_front()
+            && let Some(session) = queue.pop_front()
         {
-            serving.push((t + 0.1, sess));
+            serving.push((t + 0.1, session));
         }
     }
-    (served as f64 / 10.0, door.view().promises.refused)
+    (served as f64 / 10.0, door.status().retries.rejected_early)
 }
 
 #[test]
@@ -378,23 +391,32 @@
 fn tenants_share_within_a_group_and_what_one_leaves_is_the_others() {
     let run = |asks: [bool; 3]| {
         let tenants = vec![1.0, 2.0, 1.0];
-        let mut door =
-            Door::new(Terms { tenants, hands: (1.0, 1.0, 1.0), ..terms(&[1.0, 1.0]) }, Instant::from_ms(0.0));
+        let mut door = AdmissionController::new(
+            AdmissionConfig {
+                tenant_weights: tenants,
+                concurrency_limits: (1.0, 1.0, 1.0),
+                ..terms(&[1.0, 1.0])
+            },
+            Instant::from_ms(0.0),
+        );
         let now = Instant::from_ms(1.0);
         let (start_target, setup_timeout) = (Span::from_secs(1.0), Span::from_secs(3.0));
         for n in 0..100u64 {
             for tenant in (0..3).filter(|&t| asks[t]) {
-                let sess = SessionId(n * 3 + tenant as u64);
+                let session = SessionId(n * 3 + tenant as u64);
                 let group = GroupId(usize::from(tenant == 2));
-                door.offer(Request { sess, group, tenant, client: n, start_target, setup_timeout }, now);
+                door.offer(
+                    AdmissionRequest { session, group, tenant, client: n, start_target, setup_timeout },
+                    now,
+                );
             }
         }
         let mut went = [0; 3];
         for _ in 0..60 {
-            for verdict in door.round(now) {
-                if let Verdict::In { sess, .. } = verdict {
-                    went[sess.0 as usize % 3] += 1;
-                    door.done(sess, Came::Other, now);
+            for verdict in door.poll(now) {
+                if let AdmissionDecision::Admit { session, .. } = verdict {
+                    went[session.0 as usize % 3] += 1;
+                    door.complete(session, SetupOutcome::Other, now);
                 }
             }
         }
--- a/crates/admission/tests/worlds.rs
+++ b/crates/admission/tests/worlds.rs
@@ -5,18 +5,20 @@
 
 use ashglade::ids::{GroupId, SessionId};
 use ashglade::time::{Instant, Span};
-use ashglade_admission::{Came, Door, Request, Terms, Verdict};
+use ashglade_admission::{
+    AdmissionConfig, AdmissionController, AdmissionDecision, AdmissionRequest, SetupOutcome,
+};
 use expect_test::expect;
 
-fn terms(groups: usize, seed: u64) -> Terms {
-    Terms {
+fn terms(groups: usize, seed: u64) -> AdmissionConfig {
+    AdmissionConfig {
         seed,
         groups: (0..groups).map(|g| (1.0 + g as f64, 1.0)).collect(),
-        tenants: vec![1.0],
-        target: Span::from_secs(1.0),
-        retry_after: Some(Span::from_secs(6.0)),
-        most_waiting: 50,
-        hands: (4.0, 1.0, 64.0),
+        tenant_weights: vec![1.0],
+        min_start_target: Span::from_secs(1.0),
+        max_retry_after: Some(Span::from_secs(6.0)),
+        max_waiting: 50,
+        concurrency_limits: (4.0, 1.0, 64.0),
     }
 }
 
@@ -24,16 +26,23 @@
     Instant::from_ms(secs * 1e3)
 }
 
-fn request(n: u64, group: usize, client: u64) -> Request {
+fn request(n: u64, group: usize, client: u64) -> AdmissionRequest {
     let (start_target, setup_timeout) = (Span::from_secs(1.0), Span::from_secs(3.0));
-    Request { sess: SessionId(n), group: GroupId(group), tenant: 0, client, start_target, setup_timeout }
+    AdmissionRequest {
+        session: SessionId(n),
+        group: GroupId(group),
+        tenant: 0,
+        client,
+        start_target,
+        setup_timeout,
+    }
 }
 
 #[test]
 fn any_world_keeps_the_bounds() {
     for seed in 0..150 {
         let mut random = oorandom::Rand64::new(seed);
-        let mut door = Door::new(terms(3, seed as u64), at(0.0));
+        let mut door = AdmissionController::new(terms(3, seed as u64), at(0.0));
         // By session: when it came, and its verdicts.
         let mut known: BTreeMap<SessionId, (f64, usize, bool)> = BTreeMap::new();
         let mut inside: Vec<SessionId> = Vec::new();
@@ -55,43 +64,44 @@
                 known.insert(SessionId(n), (t, 0, false));
             }
             if random.rand_float() < 0.2 && n > 0 {
-                let sess = SessionId(random.rand_range(1..n + 1));
-                if door.left(sess) {
-                    known.get_mut(&sess).expect("a request").2 = true;
+                let session = SessionId(random.rand_range(1..n + 1));
+                if door.cancel(session) {
+                    known.get_mut(&session).expect("a request").2 = true;
                 }
             }
             let ended = random.rand_range(0..6) as usize;
-            for sess in inside.drain(..ended.min(inside.len())) {
+            for session in inside.drain(..ended.min(inside.len())) {
                 let how =
-                    [Came::Plays, Came::Plays, Came::Busy, Came::Other][random.rand_range(0..4) as usize];
-                door.done(sess, how, at(t));
+                    [SetupOutcome::Started, SetupOutcome::Started, SetupOutcome::Busy, SetupOutcome::Other]
+                        [random.rand_range(0..4) as usize];
+                door.complete(session, how, at(t));
             }
             let before = t;
-            for verdict in door.round(at(t)) {
-                let (sess, came_in) = match verdict {
-                    Verdict::In { sess, waited } => {
-                        inside.push(sess);
+            for verdict in door.poll(at(t)) {
+                let (session, came_in) = match verdict {
+                    AdmissionDecision::Admit { session, waited } => {
+                        inside.push(session);
                         // Two seconds may be lost while it waits; nothing is held on purpose.
-                        assert!(waited.as_ms() <= 2500.0, "seed {seed}: {sess:?} waited {waited:?}");
-                        (sess, true)
+                        assert!(waited.as_ms() <= 2500.0, "seed {seed}: {session:?} waited {waited:?}");
+                        (session, true)
                     }
-                    Verdict::Away { sess, retry_after, .. } => {
+                    AdmissionDecision::Reject { session, retry_after, .. } => {
                         assert!(
                             retry_after
                                 .is_some_and(|after| after <= Span::from_secs(6.0) && after > Span::ZERO)
                         );
-                        (sess, false)
+                        (session, false)
                     }
                 };
-                let entry = known.get_mut(&sess).expect("a verdict on a request");
+                let entry = known.get_mut(&session).expect("a verdict on a request");
                 entry.1 += 1;
-                assert!(entry.1 == 1 && !entry.2, "seed {seed}: {sess:?} in: {came_in}, {entry:?}");
+                assert!(entry.1 == 1 && !entry.2, "seed {seed}: {session:?} in: {came_in}, {entry:?}");
             }
-            let (waiting, held) = door.held();
+            let (waiting, held) = door.waiting_and_in_flight();
             assert!(waiting <= 50 && held == inside.len(), "seed {seed}");
             // Work conserving: nobody waits while there is room, but where what is in hand takes too long.
             assert!(
-                waiting == 0 || held as f64 >= door.limit() || (door.holds() && held > 1),
+                waiting == 0 || held as f64 >= door.limit() || (door.is_paused() && held > 1),
                 "seed {seed}: {waiting} wait, {held} inside"
             );
             // After a round nobody is left that has waited its time.
@@ -107,8 +117,10 @@
 /// director. What each served a second in time over the last two thirds, and the sum of limits at its least and most.
 fn fleet(rates: &[f64], at_once: usize, secs: f64) -> (Vec<f64>, (f64, f64)) {
     let mut random = oorandom::Rand64::new(11);
-    let mut doors: Vec<Door> = (0..rates.len())
-        .map(|d| Door::new(Terms { most_waiting: 400, ..terms(1, d as u64) }, at(0.0)))
+    let mut doors: Vec<AdmissionController> = (0..rates.len())
+        .map(|d| {
+            AdmissionController::new(AdmissionConfig { max_waiting: 400, ..terms(1, d as u64) }, at(0.0))
+        })
         .collect();
     let mut came: BTreeMap<SessionId, (f64, usize)> = BTreeMap::new();
     let mut queue: VecDeque<SessionId> = VecDeque::new();
@@ -126,28 +138,28 @@
                 door.offer(request(n, 0, n), at(t));
             }
         }
-        serving.retain(|&(until, sess)| {
+        serving.retain(|&(until, session)| {
             if until <= t {
-                let (since, d) = came[&sess];
-                doors[d].done(sess, Came::Plays, at(t));
+                let (since, d) = came[&session];
+                doors[d].complete(session, SetupOutcome::Started, at(t));
                 served[d] += usize::from(t > secs / 3.0 && t - since <= 1.0);
             }
             until > t
         });
         for door in &mut doors {
-            for verdict in door.round(at(t)) {
-                if let Verdict::In { sess, .. } = verdict {
-                    queue.push_back(sess);
+            for verdict in door.poll(at(t)) {
+                if let AdmissionDecision::Admit { session, .. } = verdict {
+                    queue.push_back(session);
                 }
             }
         }
         while serving.len() < at_once
-            && let Some(sess) = queue.pop_front()
+            && let Some(session) = queue.pop_front()
         {
-            serving.push((t + 0.1, sess));
+            serving.push((t + 0.1, session));
         }
         if t > secs / 3.0 {
-            let sum = doors.iter().map(Door::limit).sum();
+            let sum = doors.iter().map(AdmissionController::limit).sum();
             limits = (limits.0.min(sum), limits.1.max(sum));
         }
     }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -164,19 +164,22 @@
     let at = ashglade_director::door_view(&settings, path).ok_or("settings name no door.view")?;
     let (view, age) = view::<ashglade_engine::AdmissionStatus>(&at)?;
     let mut told =
-        format!("as it was {age:.0} s ago\nset-ups in hand {} of {:.0}\n", view.inside, view.limit);
+        format!("as it was {age:.0} s ago\nset-ups in hand {} of {:.0}\n", view.in_flight, view.limit);
     for (name, waiting) in settings.group_names.iter().zip(&view.waiting) {
         told += &format!("waiting {waiting:5} {name}\n");
     }
-    let (t, p) = (&view.tally, &view.promises);
-    told += &format!("offered {}, let in {}, of them after waiting {}\n", t.offered, t.let_in, t.waited);
+    let (t, p) = (&view.counters, &view.retries);
+    told += &format!(
+        "offered {}, let in {}, of them after waiting {}\n",
+        t.offered, t.admitted, t.admitted_after_waiting
+    );
     told += &format!(
         "sent away: {} no place, {} no hope, {} waited too long, {} too early\n",
-        t.no_place, t.hopeless, t.too_long, t.too_early
+        t.queue_full, t.deadline_unreachable, t.wait_expired, t.retried_early
     );
     told += &format!(
         "promises: {} made, {} came, {} of them went in; {} came early\n",
-        p.made, p.came, p.went_in, p.early
+        p.slots_reserved, p.returned_in_slot, p.admitted, p.returned_early
     );
     Ok(told)
 }
--- a/crates/director/src/core.rs
+++ b/crates/director/src/core.rs
@@ -138,7 +138,7 @@
             let _ = file.flush();
         }
         if let (Some(door), Some(path)) = (self.engine.admission(), &self.with.door_view) {
-            let text = serde_json::to_string(&door.view()).unwrap_or_default();
+            let text = serde_json::to_string(&door.status()).unwrap_or_default();
             if let Err(error) = files::replace(path, &text) {
                 warn!(path = %path.display(), %error, "the view of the door can't be written");
             }
@@ -188,7 +188,7 @@
             .engine
             .membership()
             .nodes()
-            .filter_map(|(&n, entry)| Some((n, entry.place.started?)))
+            .filter_map(|(&n, entry)| Some((n, entry.info.started?)))
             .collect();
         for (node, at) in starts {
             for key in self.book.ledger.node_started(node, at) {
@@ -216,7 +216,8 @@
     fn act(&mut self, now: Instant, effect: Effect) {
         match effect {
             Effect::SendSetup { session: sess, setup, node, rung, .. } => {
-                let addresses = self.engine.membership().entry(node).map(|entry| (entry.address, entry.http));
+                let addresses =
+                    self.engine.membership().entry(node).map(|entry| (entry.address, entry.http_address));
                 let sent = addresses.is_some_and(|(address, http)| {
                     debug!(sess = sess.0, node = %address, rung = rung.0, "SETUP");
                     self.order(sess, Order::Setup { setup, node, address, http, rung, decided: now })
--- a/crates/director/src/files.rs
+++ b/crates/director/src/files.rs
@@ -11,7 +11,7 @@
     #[error(transparent)]
     Settings(#[from] ashglade_settings::Trouble),
     #[error("{path}: {source}")]
-    List { path: PathBuf, source: ashglade_discovery::Refusal },
+    List { path: PathBuf, source: ashglade_discovery::ListError },
     #[error("no box list: {0}")]
     NoList(String),
     #[error("{path}: {source}")]
--- a/crates/director/src/lists.rs
+++ b/crates/director/src/lists.rs
@@ -1,13 +1,13 @@
 //! Box lists as files: read when they change and, where changes are not told, every so often. What that comes to is
-//! decided in `ashglade_discovery::watch`; what is in force is written down, for the director that comes after this one.
+//! decided in `ashglade_discovery::sources`; what is in force is written down, for the director that comes after this one.
 
 use std::ffi::{OsStr, OsString};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
 use ashglade::time::Span;
-use ashglade_discovery::List;
-use ashglade_discovery::watch::{Found, News, Watch};
+use ashglade_discovery::NodeList;
+use ashglade_discovery::sources::{SourceEvent, SourceMerger, SourceRead};
 use ashglade_engine::Input;
 use ashglade_settings::{Names, Settings};
 use notify::Watcher as _;
@@ -40,16 +40,16 @@
     std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))
 }
 
-fn read(path: &Path, text: &Text, names: &Names) -> Found {
+fn read(path: &Path, text: &Text, names: &Names) -> SourceRead {
     match text.as_ref().map(|text| ashglade_settings::watched_boxes(&path.display().to_string(), text, names))
     {
-        Ok(Ok((list, leaves_out))) => Found::List { list, leaves_out },
-        Ok(Err(trouble)) => Found::Nothing { why: trouble.to_string() },
-        Err(why) => Found::Nothing { why: why.clone() },
+        Ok(Ok((list, leaves_out))) => SourceRead::List { list, leaves_out },
+        Ok(Err(trouble)) => SourceRead::Unreadable { reason: trouble.to_string() },
+        Err(why) => SourceRead::Unreadable { reason: why.clone() },
     }
 }
 
-fn look(path: &Path, names: &Names) -> Found {
+fn look(path: &Path, names: &Names) -> SourceRead {
     read(path, &text(path), names)
 }
 
@@ -59,23 +59,23 @@
     settings: &Settings,
     files: &Files,
     now: ashglade::time::Instant,
-) -> Result<(Watch, List), Trouble> {
+) -> Result<(SourceMerger, NodeList), Trouble> {
     let hold = Span::from_secs(settings.list_hold.as_secs_f64());
-    let mut watch = Watch::new(files.sources.len(), hold);
-    let found: Vec<Found> = files.sources.iter().map(|path| look(path, &settings.names)).collect();
+    let mut watch = SourceMerger::new(files.sources.len(), hold);
+    let found: Vec<SourceRead> = files.sources.iter().map(|path| look(path, &settings.names)).collect();
     let kept = files.kept.as_ref().map(|path| (path, look(path, &settings.names)));
-    if let Some((path, Found::List { list, .. })) = kept {
+    if let Some((path, SourceRead::List { list, .. })) = kept {
         let resumed = watch.resume(list);
         resumed.map_err(|source| Trouble::List { path: path.clone(), source })?;
     }
     let first = found.iter().find_map(|found| match found {
-        Found::Nothing { why } => Some(why.clone()),
-        Found::List { .. } => None,
+        SourceRead::Unreadable { reason: why } => Some(why.clone()),
+        SourceRead::List { .. } => None,
     });
     for (source, found) in found.into_iter().enumerate() {
-        tell(files, &watch.read(source, found, now));
+        tell(files, &watch.update(source, found, now));
     }
-    match watch.in_force() {
+    match watch.current() {
         Some(list) => {
             let list = list.clone();
             Ok((watch, list))
@@ -85,34 +85,34 @@
 }
 
 /// Says what is new.
-fn tell(files: &Files, news: &[News]) {
+fn tell(files: &Files, news: &[SourceEvent]) {
     let path = |source: &usize| files.sources.get(*source).map(|path| path.display().to_string());
     for news in news {
         match news {
-            News::InForce(_) => {}
-            News::Refused { source, why } => {
+            SourceEvent::InForce(_) => {}
+            SourceEvent::Rejected { source, reason: why } => {
                 warn!(path = path(source), why, "box list left out; the one held stays in force");
             }
-            News::HeldBack { source, left_out, of, until } => warn!(
+            SourceEvent::HeldBack { source, left_out, ready: of, until } => warn!(
                 path = path(source),
                 left_out,
                 of,
                 until_ms = until.as_ms(),
                 "BOX LIST HELD BACK: it leaves out many ready boxes at once; taken if it stays so, or with `leaves_out`"
             ),
-            News::Taken { source, left_out } => {
+            SourceEvent::Accepted { source, left_out } => {
                 warn!(path = path(source), left_out, "box list taken, though it leaves out many");
             }
-            News::Vanished { source, why } => {
+            SourceEvent::Unavailable { source, reason: why } => {
                 warn!(path = path(source), why, "box list can't be read; the one held stays in force");
             }
-            News::Back { source } => info!(path = path(source), "box list can be read again"),
+            SourceEvent::Available { source } => info!(path = path(source), "box list can be read again"),
         }
     }
 }
 
 /// Writes the list in force down, for a start without any other.
-fn keep(files: &Files, list: Option<&List>, names: &Names) {
+fn keep(files: &Files, list: Option<&NodeList>, names: &Names) {
     if let (Some(path), Some(list)) = (&files.kept, list)
         && let Err(error) = files::replace(path, &ashglade_settings::write_boxes(list, names))
     {
@@ -137,7 +137,7 @@
 }
 
 /// Follows the sources for as long as the director runs.
-pub async fn follow(shared: Arc<Shared>, files: Files, mut watch: Watch) {
+pub async fn follow(shared: Arc<Shared>, files: Files, mut watch: SourceMerger) {
     let names = shared.settings.names.clone();
     let (changed, mut changes) = mpsc::channel::<()>(1);
     // One that waits to be read is as good as many.
@@ -160,7 +160,7 @@
     }
     // Not its time, which says nothing where a clock or a copy sets it: a file is new if it reads otherwise.
     let mut last: Vec<Option<Text>> = vec![None; files.sources.len()];
-    keep(&files, watch.in_force(), &names);
+    keep(&files, watch.current(), &names);
     let mut tick = tokio::time::interval(shared.settings.front.list_poll);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
@@ -181,15 +181,15 @@
             let Ok((text, found)) = done.await else { continue };
             last[source] = Some(text);
             if let Some(found) = found {
-                news.extend(watch.read(source, found, now));
+                news.extend(watch.update(source, found, now));
             }
         }
-        if watch.next_due().is_some_and(|due| due <= now) {
-            news.extend(watch.due(now));
+        if watch.next_deadline().is_some_and(|due| due <= now) {
+            news.extend(watch.poll(now));
         }
         tell(&files, &news);
         let list = news.into_iter().rev().find_map(|news| match news {
-            News::InForce(list) => Some(list),
+            SourceEvent::InForce(list) => Some(list),
             _ => None,
         });
         if let Some(list) = list {
--- a/crates/director/src/serve.rs
+++ b/crates/director/src/serve.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 
 use ashglade::time::Span;
-use ashglade_discovery::List;
+use ashglade_discovery::NodeList;
 use ashglade_engine::{AdmissionConfig, EngineConfig, Input};
 use ashglade_ledger::{Ledger, TeardownPolicy, journal};
 use ashglade_rtsp::digest::Users;
@@ -40,7 +40,7 @@
 }
 
 /// Reads and checks settings and box lists; the list that would be in force, and where lists are read.
-pub fn load(path: &Path) -> Result<(Settings, List, Files), Trouble> {
+pub fn load(path: &Path) -> Result<(Settings, NodeList, Files), Trouble> {
     let settings = ashglade_settings::settings(&path.display().to_string(), &read(path)?)?;
     let files = Files::new(&settings, path);
     let (_, list) = lists::open(&settings, &files, ashglade::time::Instant::default())?;
@@ -70,11 +70,16 @@
         admission: settings.door.as_ref().map(|door| AdmissionConfig {
             seed: headend.seed,
             groups: door.shares.iter().copied().zip(headend.groups.iter().map(|g| g.utility)).collect(),
-            tenants: door.tenants.iter().map(|&(_, share)| share).collect(),
-            target: headend.groups.iter().map(|g| g.start_target).min().unwrap_or(Span::from_secs(1.0)),
-            retry_after: headend.max_retry_after,
-            most_waiting: door.most_waiting,
-            hands: door.hands,
+            tenant_weights: door.tenants.iter().map(|&(_, share)| share).collect(),
+            min_start_target: headend
+                .groups
+                .iter()
+                .map(|g| g.start_target)
+                .min()
+                .unwrap_or(Span::from_secs(1.0)),
+            max_retry_after: headend.max_retry_after,
+            max_waiting: door.most_waiting,
+            concurrency_limits: door.hands,
         }),
     }
 }
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/sources.rs
@@ -1,5 +1,5 @@
 //! Where lists come from: files that others write, more than one perhaps, which change at any moment, vanish, are cut short,
-//! or are wrong. [`Watch`] is told what was read and says what is in force; it does no reading itself.
+//! or are wrong. [`SourceMerger`] is told what was read and says what is in force; it does no reading itself.
 //!
 //! - What is read is taken whole or not at all, and an older generation of a source never replaces a newer.
 //! - Several sources are one list: a node's place is that of the first source that names it, and its standing the worst that
@@ -18,44 +18,44 @@
 
 use ashglade::time::{Instant, Span};
 
-use crate::{Entry, List, Refusal, Standing, check};
+use crate::{ListError, NodeEntry, NodeList, NodeState, check};
 
 /// Which source, by its place in the settings: the first goes before the others.
-pub type Source = usize;
+pub type SourceIndex = usize;
 
 /// What was found at a source.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Found {
+pub enum SourceRead {
     List {
-        list: List,
+        list: NodeList,
         /// How many nodes its writer says that it leaves out on purpose.
         leaves_out: Option<usize>,
     },
     /// It is not there, can't be read, or is no list.
-    Nothing { why: String },
+    Unreadable { reason: String },
 }
 
 /// What is new.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum SourceEvent {
     /// This is in force from now on.
-    InForce(List),
+    InForce(NodeList),
     /// A source's list was left out, and why.
-    Refused { source: Source, why: String },
+    Rejected { source: SourceIndex, reason: String },
     /// A source leaves out so many of so many that are ready; until when, if it stays so.
-    HeldBack { source: Source, left_out: usize, of: usize, until: Instant },
+    HeldBack { source: SourceIndex, left_out: usize, ready: usize, until: Instant },
     /// What was held back is taken.
-    Taken { source: Source, left_out: usize },
+    Accepted { source: SourceIndex, left_out: usize },
     /// A source that had a list has none; the list it had stays in force.
-    Vanished { source: Source, why: String },
+    Unavailable { source: SourceIndex, reason: String },
     /// It has one again.
-    Back { source: Source },
+    Available { source: SourceIndex },
 }
 
 #[derive(Debug, Default)]
 struct Held {
     /// As last taken, whole.
-    list: Option<List>,
+    list: Option<NodeList>,
     /// Newer, and held back.
     back: Option<Back>,
     vanished: bool,
@@ -65,66 +65,66 @@
 
 #[derive(Debug)]
 struct Back {
-    list: List,
+    list: NodeList,
     left_out: usize,
     until: Instant,
 }
 
 #[derive(Debug)]
-pub struct Watch {
+pub struct SourceMerger {
     sources: Vec<Held>,
     /// For so long a list that leaves out many must stay as it is.
     hold: Span,
     /// What is in force, and its own generation.
-    in_force: Option<List>,
+    in_force: Option<NodeList>,
     generation: u64,
 }
 
 /// A list may leave out this part of the ready nodes at once, and one node in any case.
 const LEFT_OUT: f64 = 0.25;
 
-impl Watch {
-    pub fn new(sources: usize, hold: Span) -> Watch {
+impl SourceMerger {
+    pub fn new(sources: usize, hold: Span) -> SourceMerger {
         let sources = (0..sources).map(|_| Held::default()).collect();
-        Watch { sources, hold, in_force: None, generation: 0 }
+        SourceMerger { sources, hold, in_force: None, generation: 0 }
     }
 
     /// Begins with what was in force when the director before this one ended: it holds until sources tell otherwise.
     /// Generations go on from there.
-    pub fn resume(&mut self, list: List) -> Result<(), Refusal> {
+    pub fn resume(&mut self, list: NodeList) -> Result<(), ListError> {
         check(&list)?;
         self.generation = list.generation;
         if let Some(first) = self.sources.first_mut() {
             // Of the lowest generation, so that whatever the source has now is newer.
-            first.list = Some(List { generation: 0, entries: list.entries.clone() });
+            first.list = Some(NodeList { generation: 0, entries: list.entries.clone() });
         }
         self.in_force = Some(list);
         Ok(())
     }
 
-    pub fn in_force(&self) -> Option<&List> {
+    pub fn current(&self) -> Option<&NodeList> {
         self.in_force.as_ref()
     }
 
     /// Something was read; what is new by it.
-    pub fn read(&mut self, source: Source, found: Found, now: Instant) -> Vec<News> {
+    pub fn update(&mut self, source: SourceIndex, found: SourceRead, now: Instant) -> Vec<SourceEvent> {
         let mut news = Vec::new();
         if source >= self.sources.len() {
             return news;
         }
         match found {
-            Found::Nothing { why } => {
+            SourceRead::Unreadable { reason: why } => {
                 let held = &mut self.sources[source];
                 if held.list.is_some() && !std::mem::replace(&mut held.vanished, true) {
-                    news.push(News::Vanished { source, why });
+                    news.push(SourceEvent::Unavailable { source, reason: why });
                 } else if held.list.is_none() && held.refused != Some(hash(&why)) {
                     held.refused = Some(hash(&why));
-                    news.push(News::Refused { source, why });
+                    news.push(SourceEvent::Rejected { source, reason: why });
                 }
             }
-            Found::List { list, leaves_out } => {
+            SourceRead::List { list, leaves_out } => {
                 if std::mem::take(&mut self.sources[source].vanished) {
-                    news.push(News::Back { source });
+                    news.push(SourceEvent::Available { source });
                 }
                 self.offered(source, list, leaves_out, now, &mut news);
             }
@@ -134,19 +134,19 @@
     }
 
     /// When something is due if nothing is read before.
-    pub fn next_due(&self) -> Option<Instant> {
+    pub fn next_deadline(&self) -> Option<Instant> {
         self.sources.iter().filter_map(|held| Some(held.back.as_ref()?.until)).min()
     }
 
     /// What was held back long enough and is still what its source says is taken.
-    pub fn due(&mut self, now: Instant) -> Vec<News> {
+    pub fn poll(&mut self, now: Instant) -> Vec<SourceEvent> {
         let mut news = Vec::new();
         for (source, held) in self.sources.iter_mut().enumerate() {
             // A source that has vanished meanwhile confirms nothing.
             if !held.vanished
                 && let Some(back) = held.back.take_if(|back| back.until <= now)
             {
-                news.push(News::Taken { source, left_out: back.left_out });
+                news.push(SourceEvent::Accepted { source, left_out: back.left_out });
                 held.list = Some(back.list);
             }
         }
@@ -156,18 +156,18 @@
 
     fn offered(
         &mut self,
-        source: Source,
-        list: List,
+        source: SourceIndex,
+        list: NodeList,
         leaves_out: Option<usize>,
         now: Instant,
-        news: &mut Vec<News>,
+        news: &mut Vec<SourceEvent>,
     ) {
         let ready = self.ready_of(source);
         let held = &mut self.sources[source];
         if let Err(why) = admissible(held, &list) {
             let mark = hash(&why);
             if held.refused.replace(mark) != Some(mark) {
-                news.push(News::Refused { source, why });
+                news.push(SourceEvent::Rejected { source, reason: why });
             }
             return;
         }
@@ -175,66 +175,66 @@
         if held.list.as_ref() == Some(&list) || held.back.as_ref().is_some_and(|back| back.list == list) {
             return;
         }
-        let named: std::collections::BTreeSet<_> = list.entries.iter().map(Entry::node).collect();
+        let named: std::collections::BTreeSet<_> = list.entries.iter().map(NodeEntry::node_id).collect();
         let left_out = ready.iter().filter(|node| !named.contains(node)).count();
         let may = ((ready.len() as f64 * LEFT_OUT) as usize).max(1);
         if left_out > may && leaves_out != Some(left_out) {
             // A newer list begins a wait of its own.
             let until = now + self.hold;
             held.back = Some(Back { list, left_out, until });
-            news.push(News::HeldBack { source, left_out, of: ready.len(), until });
+            news.push(SourceEvent::HeldBack { source, left_out, ready: ready.len(), until });
             return;
         }
         held.back = None;
         if left_out > may {
-            news.push(News::Taken { source, left_out });
+            news.push(SourceEvent::Accepted { source, left_out });
         }
         held.list = Some(list);
     }
 
     /// Nodes that this source has as ready.
-    fn ready_of(&self, source: Source) -> Vec<ashglade::ids::NodeId> {
+    fn ready_of(&self, source: SourceIndex) -> Vec<ashglade::ids::NodeId> {
         let entries = self.sources[source].list.iter().flat_map(|list| &list.entries);
-        entries.filter(|entry| entry.standing == Standing::Ready).map(Entry::node).collect()
+        entries.filter(|entry| entry.state == NodeState::Ready).map(NodeEntry::node_id).collect()
     }
 
     /// Makes one list of what all sources say, and tells it if it is another than the one in force.
-    fn merge(&mut self, news: &mut Vec<News>) {
-        let mut merged: Vec<Entry> = Vec::new();
+    fn merge(&mut self, news: &mut Vec<SourceEvent>) {
+        let mut merged: Vec<NodeEntry> = Vec::new();
         let mut places = BTreeMap::new();
         for held in &self.sources {
             let whole = held.list.iter().flat_map(|list| &list.entries);
             for entry in whole {
-                match places.get(&entry.node()) {
+                match places.get(&entry.node_id()) {
                     None => {
-                        places.insert(entry.node(), merged.len());
+                        places.insert(entry.node_id(), merged.len());
                         merged.push(entry.clone());
                     }
                     Some(&at) => {
-                        let first: &mut Entry = &mut merged[at];
-                        first.standing = worse(first.standing, entry.standing);
+                        let first: &mut NodeEntry = &mut merged[at];
+                        first.state = worse(first.state, entry.state);
                     }
                 }
             }
         }
         // By name, a list that is held back counts: what it tells as leaving, leaves.
         for back in self.sources.iter().filter_map(|held| held.back.as_ref()) {
-            for entry in back.list.entries.iter().filter(|entry| entry.standing != Standing::Ready) {
-                if let Some(&at) = places.get(&entry.node()) {
-                    merged[at].standing = worse(merged[at].standing, entry.standing);
+            for entry in back.list.entries.iter().filter(|entry| entry.state != NodeState::Ready) {
+                if let Some(&at) = places.get(&entry.node_id()) {
+                    merged[at].state = worse(merged[at].state, entry.state);
                 }
             }
         }
         if merged.is_empty() || self.in_force.as_ref().is_some_and(|list| list.entries == merged) {
             return;
         }
-        let list = List { generation: self.generation + 1, entries: merged };
+        let list = NodeList { generation: self.generation + 1, entries: merged };
         // Two sources may each be well and contradict each other, as by one address under two names.
         match check(&list) {
             Ok(()) => {
                 self.generation = list.generation;
                 self.in_force = Some(list.clone());
-                news.push(News::InForce(list));
+                news.push(SourceEvent::InForce(list));
             }
             Err(refusal) => {
                 let (source, why) =
@@ -242,7 +242,7 @@
                 let mark = hash(&why);
                 let last = &mut self.sources[source];
                 if last.refused.replace(mark) != Some(mark) {
-                    news.push(News::Refused { source, why });
+                    news.push(SourceEvent::Rejected { source, reason: why });
                 }
             }
         }
@@ -250,25 +250,25 @@
 }
 
 /// Whether a list may follow what its source had.
-fn admissible(held: &Held, list: &List) -> Result<(), String> {
+fn admissible(held: &Held, list: &NodeList) -> Result<(), String> {
     check(list).map_err(|refusal| refusal.to_string())?;
     let newest = held.back.as_ref().map(|back| &back.list).or(held.list.as_ref());
     match newest {
         Some(before) if list.generation < before.generation => {
-            Err(Refusal::Older { offered: list.generation, held: before.generation }.to_string())
+            Err(ListError::StaleGeneration { offered: list.generation, held: before.generation }.to_string())
         }
         Some(before) if list.generation == before.generation && list != before => {
-            Err(Refusal::Contradicts { generation: list.generation }.to_string())
+            Err(ListError::ConflictingGeneration { generation: list.generation }.to_string())
         }
         _ => Ok(()),
     }
 }
 
-fn worse(one: Standing, other: Standing) -> Standing {
+fn worse(one: NodeState, other: NodeState) -> NodeState {
     let rank = |standing| match standing {
-        Standing::Ready => 0,
-        Standing::Draining => 1,
-        Standing::Gone => 2,
+        NodeState::Ready => 0,
+        NodeState::Draining => 1,
+        NodeState::Gone => 2,
     };
     if rank(other) > rank(one) { other } else { one }
 }
--- a/crates/discovery/src/tests.rs
+++ b/crates/discovery/src/tests.rs
@@ -3,28 +3,28 @@
 
 use super::*;
 
-fn entry(n: u16, standing: Standing) -> Entry {
+fn entry(n: u16, standing: NodeState) -> NodeEntry {
     let place = NodeInfo { zone: ZoneId(0), model: ModelId(0), cell: CellId(n), weight: 1.0, started: None };
-    Entry {
+    NodeEntry {
         name: format!("n{n}"),
         address: ([127, 0, 0, 1], 9000 + n).into(),
-        http: None,
+        http_address: None,
         id: None,
-        place,
-        standing,
+        info: place,
+        state: standing,
     }
 }
 
-fn offer(roster: &mut Roster, generation: u64, entries: Vec<Entry>) -> String {
-    let told = match roster.offer(List { generation, entries }) {
+fn offer(membership: &mut Membership, generation: u64, entries: Vec<NodeEntry>) -> String {
+    let told = match membership.update(NodeList { generation, entries }) {
         Ok(None) => "as before".to_string(),
         Ok(Some(c)) => {
-            format!("taken: {} new, {} again, {} drain, {} gone", c.new, c.started_again, c.draining, c.gone)
+            format!("taken: {} new, {} again, {} drain, {} gone", c.added, c.restarted, c.draining, c.removed)
         }
         Err(refusal) => format!("left out: {refusal}"),
     };
     let nodes: Vec<String> = {
-        let mut all: Vec<_> = roster.nodes().map(|(_, e)| format!("{} {:?}", e.name, e.standing)).collect();
+        let mut all: Vec<_> = membership.nodes().map(|(_, e)| format!("{} {:?}", e.name, e.state)).collect();
         all.sort();
         all
     };
@@ -33,21 +33,21 @@
 
 #[test]
 fn a_list_counts_whole_or_not_at_all_and_drains_outlast_older_lists() {
-    use Standing::*;
-    let mut roster = Roster::default();
+    use NodeState::*;
+    let mut membership = Membership::default();
     let mut trace = String::new();
-    trace += &offer(&mut roster, 1, vec![entry(1, Ready), entry(2, Ready)]);
-    trace += &offer(&mut roster, 3, vec![entry(1, Draining), entry(2, Ready), entry(3, Ready)]);
-    trace += &offer(&mut roster, 2, vec![entry(1, Ready), entry(2, Ready)]);
-    trace += &offer(&mut roster, 3, vec![entry(1, Ready), entry(2, Ready)]);
-    trace += &offer(&mut roster, 4, vec![entry(1, Ready), entry(4, Ready), entry(4, Ready)]);
+    trace += &offer(&mut membership, 1, vec![entry(1, Ready), entry(2, Ready)]);
+    trace += &offer(&mut membership, 3, vec![entry(1, Draining), entry(2, Ready), entry(3, Ready)]);
+    trace += &offer(&mut membership, 2, vec![entry(1, Ready), entry(2, Ready)]);
+    trace += &offer(&mut membership, 3, vec![entry(1, Ready), entry(2, Ready)]);
+    trace += &offer(&mut membership, 4, vec![entry(1, Ready), entry(4, Ready), entry(4, Ready)]);
     let mut twin = entry(5, Ready);
     twin.address = entry(1, Ready).address;
-    trace += &offer(&mut roster, 4, vec![entry(1, Ready), twin]);
-    trace += &offer(&mut roster, 4, vec![]);
+    trace += &offer(&mut membership, 4, vec![entry(1, Ready), twin]);
+    trace += &offer(&mut membership, 4, vec![]);
     let mut restarted = entry(1, Ready);
-    restarted.place.started = Some(Instant::from_ms(5.0));
-    trace += &offer(&mut roster, 4, vec![restarted]);
+    restarted.info.started = Some(Instant::from_ms(5.0));
+    trace += &offer(&mut membership, 4, vec![restarted]);
     expect![[r#"
         1: taken: 2 new, 0 again, 0 drain, 0 gone -> n1 Ready, n2 Ready
         3: taken: 1 new, 0 again, 1 drain, 0 gone -> n1 Draining, n2 Ready, n3 Ready
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -6,9 +6,11 @@
 use ashglade::interface::{AttemptOutcome, DirectorConfig, SessionRequest};
 use ashglade::policy::{Director, Round};
 use ashglade::time::{Instant, Span};
-use ashglade_admission::{Came, Door, Request, Terms, Verdict};
+use ashglade_admission::{
+    AdmissionConfig, AdmissionController, AdmissionDecision, AdmissionRequest, SetupOutcome,
+};
 use ashglade_catalogue::Missing;
-use ashglade_discovery::{List, Roster, Standing};
+use ashglade_discovery::{Membership, NodeList, NodeState};
 
 use crate::answers::{Hand, Hands, Tally};
 use crate::desk::Desk;
@@ -29,7 +31,7 @@
     /// Sessions in hand at once, set-ups included.
     pub max_sessions: usize,
     /// The fair door, if there is one.
-    pub admission: Option<Terms>,
+    pub admission: Option<AdmissionConfig>,
 }
 
 /// Titles that nodes were found not to hold: so many at most, each believed for so many seconds.
@@ -41,10 +43,10 @@
 pub struct Engine {
     director: Director,
     start: EngineConfig,
-    roster: Roster,
+    roster: Membership,
     /// Nodes that the last numbered events told as ready.
     ready: BTreeSet<NodeId>,
-    door: Option<Door>,
+    door: Option<AdmissionController>,
     /// What nodes were found not to hold.
     missing: Missing,
     hands: Hands,
@@ -96,9 +98,9 @@
         timers.at(now + Span::from_secs(NOTES_EVERY), Timer::Notes);
         Engine {
             director: Director::new(&start.director, now),
-            door: start.admission.clone().map(|terms| Door::new(terms, now)),
+            door: start.admission.clone().map(|terms| AdmissionController::new(terms, now)),
             start,
-            roster: Roster::default(),
+            roster: Membership::default(),
             ready: BTreeSet::new(),
             missing: Missing::new(MOST_MISSING, Span::from_secs(BELIEVED)),
             hands: Hands::default(),
@@ -136,7 +138,7 @@
         self.hands.len()
     }
 
-    pub fn membership(&self) -> &Roster {
+    pub fn membership(&self) -> &Membership {
         &self.roster
     }
 
@@ -188,16 +190,16 @@
     /// What the door says: some go in to the module, some are sent away.
     fn let_in(&mut self, now: Instant, news: &mut Vec<News>, effects: &mut Vec<Effect>) {
         let Some(door) = &mut self.door else { return };
-        for verdict in door.round(now) {
+        for verdict in door.poll(now) {
             match verdict {
-                Verdict::In { sess, .. } => {
+                AdmissionDecision::Admit { session: sess, .. } => {
                     let Some(hand) = self.hands.get_mut(sess) else { continue };
                     let Some(want) = hand.at_door.take() else { continue };
                     // What is left of its time, to the module's end of it.
                     let patience = hand.answer_by - self.start.answer_margin * 0.5 - now;
                     news.push(News::Asked(sess, viewing(want, patience)));
                 }
-                Verdict::Away { sess, retry_after, why } => {
+                AdmissionDecision::Reject { session: sess, retry_after, reason: why } => {
                     let answer = SessionResponse::Busy { retry_after, why: BusyReason::Door(why) };
                     if self.hands.answer(sess, &answer) {
                         effects.push(Effect::Respond { session: sess, response: answer });
@@ -213,14 +215,14 @@
         for effect in effects {
             if let Effect::Respond { session: sess, response: answer } = effect {
                 let how = match answer {
-                    SessionResponse::Plays { .. } => Came::Plays,
-                    SessionResponse::Busy { .. } => Came::Busy,
-                    SessionResponse::TornDown => Came::Other,
+                    SessionResponse::Plays { .. } => SetupOutcome::Started,
+                    SessionResponse::Busy { .. } => SetupOutcome::Busy,
+                    SessionResponse::TornDown => SetupOutcome::Other,
                 };
-                door.done(*sess, how, now);
+                door.complete(*sess, how, now);
             }
         }
-        if let Some(at) = door.next_due(now) {
+        if let Some(at) = door.next_deadline(now) {
             // One look is due at a time: each round would add its own.
             if self.door_due.is_none_or(|due| at < due) {
                 self.door_due = Some(at);
@@ -230,7 +232,7 @@
     }
 
     /// The door's own counters, if there is one.
-    pub fn admission(&self) -> Option<&Door> {
+    pub fn admission(&self) -> Option<&AdmissionController> {
         self.door.as_ref()
     }
 
@@ -340,21 +342,21 @@
         self.hands.get_mut(sess)?.out.as_mut().filter(|out| out.setup == setup)
     }
 
-    fn list(&mut self, list: List, news: &mut Vec<News>, effects: &mut Vec<Effect>) {
+    fn list(&mut self, list: NodeList, news: &mut Vec<News>, effects: &mut Vec<Effect>) {
         // One that starts again may have been filled anew.
         for entry in &list.entries {
-            let node = entry.node();
-            let known = self.roster.entry(node).map(|before| before.place.started);
-            if known.is_some_and(|before| before != entry.place.started) {
+            let node = entry.node_id();
+            let known = self.roster.entry(node).map(|before| before.info.started);
+            if known.is_some_and(|before| before != entry.info.started) {
                 self.missing.started(node);
             }
         }
-        let refused = match self.roster.offer(list) {
+        let refused = match self.roster.update(list) {
             Ok(None) => return,
             Ok(Some(_)) => {
                 news.push(News::List);
                 let roster = std::mem::take(&mut self.roster);
-                let ready = |node| roster.entry(node).is_some_and(|e| e.standing == Standing::Ready);
+                let ready = |node| roster.entry(node).is_some_and(|e| e.state == NodeState::Ready);
                 self.recall(ready, effects);
                 self.roster = roster;
                 None
@@ -410,7 +412,10 @@
             (Some(door), Some(terms)) => {
                 let ViewerRequest { group, tenant, client, setup_timeout, .. } = want;
                 let start_target = terms.start_target;
-                door.offer(Request { sess, group, tenant, client, start_target, setup_timeout }, now);
+                door.offer(
+                    AdmissionRequest { session: sess, group, tenant, client, start_target, setup_timeout },
+                    now,
+                );
                 Hand { at_door: Some(want), ..hand }
             }
             _ => {
@@ -451,12 +456,12 @@
         if let Some(door) = &mut self.door {
             if hand.at_door.is_some() {
                 // The module never heard of it.
-                door.left(sess);
+                door.cancel(sess);
                 self.hands.tally.left_unanswered += 1;
                 self.hands.remove(sess);
                 return;
             }
-            door.done(sess, Came::Other, now);
+            door.complete(sess, SetupOutcome::Other, now);
         }
         let (unanswered, setups) = (!hand.answered, hand.setups);
         news.push(News::Left(sess));
@@ -589,7 +594,7 @@
                     if self.hands.get(sess).is_some_and(|hand| hand.at_door.is_none()) {
                         news.push(News::Left(sess));
                     } else if let Some(door) = &mut self.door {
-                        door.left(sess);
+                        door.cancel(sess);
                     }
                     let out = self.hands.get_mut(sess).and_then(|hand| hand.out.as_mut());
                     if let Some(out) = out
@@ -637,7 +642,7 @@
     }
 }
 
-fn tell(round: &mut Round, roster: &Roster, news: &News) {
+fn tell(round: &mut Round, roster: &Membership, news: &News) {
     match *news {
         News::Turns(ref ours, of) => round.set_slow_start_turns(ours, of),
         News::Repeats(most, span) => round.set_retry_limit_per_node(most, span),
@@ -645,9 +650,9 @@
         News::List => {
             round.begin_list_snapshot();
             for (&node, entry) in roster.nodes() {
-                match entry.standing {
-                    Standing::Ready => round.node_ready(node, entry.place),
-                    Standing::Draining | Standing::Gone => round.node_draining(node),
+                match entry.state {
+                    NodeState::Ready => round.node_ready(node, entry.info),
+                    NodeState::Draining | NodeState::Gone => round.node_draining(node),
                 }
             }
             round.finish_list();
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -22,7 +22,7 @@
 pub mod timers;
 
 pub use answers::Tally;
-pub use ashglade_admission::{Terms as AdmissionConfig, Turned, View as AdmissionStatus};
+pub use ashglade_admission::{AdmissionConfig, AdmissionStatus, RejectReason};
 pub use engine::{Engine, EngineConfig, SetupResult};
 pub use messages::{
     BusyReason, Effect, Input, LeaseExpiry, LoadReport, NodeStatus, NodeUpdate, SessionResponse,
--- a/crates/engine/src/messages.rs
+++ b/crates/engine/src/messages.rs
@@ -3,8 +3,8 @@
 use ashglade::ids::{CellId, GroupId, NodeId, Rung, SessionId, SetupNumber, TitleId};
 use ashglade::interface::{AttemptOutcome, NodeInfo};
 use ashglade::time::{Instant, Span};
-use ashglade_admission::Turned;
-use ashglade_discovery::List;
+use ashglade_admission::RejectReason;
+use ashglade_discovery::NodeList;
 use serde::{Deserialize, Serialize};
 
 /// What a viewer asks for.
@@ -57,7 +57,7 @@
 pub enum Input {
     /// A whole box list, as it was read.
     #[serde(rename = "List")]
-    DiscoverySnapshot(List),
+    DiscoverySnapshot(NodeList),
     /// What a numbered event tells of nodes: all of them, or those that changed. It is in force as it is told.
     #[serde(rename = "Told")]
     DiscoveryUpdate {
@@ -200,7 +200,7 @@
     TooManySessions,
     Draining,
     /// The door did not let it in.
-    Door(Turned),
+    Door(RejectReason),
 }
 
 /// The one answer to a request.
--- a/crates/engine/src/tests.rs
+++ b/crates/engine/src/tests.rs
@@ -5,7 +5,7 @@
 use ashglade::ids::*;
 use ashglade::interface::*;
 use ashglade::time::{Instant, Span};
-use ashglade_discovery::{Entry, List, Standing, id_of};
+use ashglade_discovery::{NodeEntry, NodeList, NodeState, node_id};
 use expect_test::{Expect, expect};
 
 use super::*;
@@ -67,21 +67,24 @@
     ([127, 0, 0, 1], n).into()
 }
 
-fn list(generation: u64, standings: &[Standing]) -> Input {
+fn list(generation: u64, standings: &[NodeState]) -> Input {
     let place =
         |n| NodeInfo { zone: ZoneId(0), model: ModelId(0), cell: CellId(n), weight: 1.0, started: None };
-    let entry = |(n, &standing): (usize, &Standing)| {
+    let entry = |(n, &standing): (usize, &NodeState)| {
         let n = n as u16 + 1;
-        Entry {
+        NodeEntry {
             name: format!("n{n}"),
             address: address(n),
-            http: None,
+            http_address: None,
             id: None,
-            place: place(n - 1),
-            standing,
+            info: place(n - 1),
+            state: standing,
         }
     };
-    Input::DiscoverySnapshot(List { generation, entries: standings.iter().enumerate().map(entry).collect() })
+    Input::DiscoverySnapshot(NodeList {
+        generation,
+        entries: standings.iter().enumerate().map(entry).collect(),
+    })
 }
 
 fn want() -> ViewerRequest {
@@ -136,9 +139,9 @@
 impl Desk {
     fn open(care: RetrySafety) -> Desk {
         let engine = Engine::new(start(care), Instant::from_ms(0.0));
-        let names = (1..=3).map(|n| (id_of(&address(n)), format!("n{n}"))).collect();
+        let names = (1..=3).map(|n| (node_id(&address(n)), format!("n{n}"))).collect();
         let mut desk = Desk { engine, names, trace: String::new() };
-        desk.at(0.0, vec![list(1, &[Standing::Ready; 3])]);
+        desk.at(0.0, vec![list(1, &[NodeState::Ready; 3])]);
         desk.trace.clear();
         desk
     }
@@ -199,9 +202,9 @@
     let (missing, spared) = (desk.engine.tally().missing, desk.engine.tally().spared);
     desk.trace += &format!("{missing} answered as missing, {spared} spared\n");
     // It starts again, as the list tells, and may have been filled.
-    let mut again = list(2, &[Standing::Ready; 3]);
+    let mut again = list(2, &[NodeState::Ready; 3]);
     if let Input::DiscoverySnapshot(list) = &mut again {
-        list.entries.iter_mut().for_each(|entry| entry.place.started = Some(Instant::from_ms(1200.0)));
+        list.entries.iter_mut().for_each(|entry| entry.info.started = Some(Instant::from_ms(1200.0)));
     }
     desk.at(1200.0, vec![again]);
     for sess in 6..9 {
@@ -266,13 +269,15 @@
 fn what_waits_for_a_connection_to_a_draining_node_is_recalled_and_goes_elsewhere() {
     let mut desk = Desk::open(RetrySafety::Fragile);
     desk.ask(1000.0, 1);
-    let at: Vec<Standing> = (1..=3)
-        .map(|n| if desk.trace.contains(&format!("at n{n}")) { Standing::Draining } else { Standing::Ready })
+    let at: Vec<NodeState> = (1..=3)
+        .map(
+            |n| if desk.trace.contains(&format!("at n{n}")) { NodeState::Draining } else { NodeState::Ready },
+        )
         .collect();
     desk.at(1050.0, vec![list(2, &at)]);
     desk.at(1051.0, vec![ended(0, AttemptOutcome::Unsent)]);
     // Once it is written it goes on, drain or not.
-    desk.at(1060.0, vec![written(1), list(3, &[Standing::Draining; 3])]);
+    desk.at(1060.0, vec![written(1), list(3, &[NodeState::Draining; 3])]);
     desk.at(1070.0, vec![started(1)]);
     desk.shows(expect![[r#"
         1000 ms: setup 1.0 at n1 rung 1 until 3800
@@ -370,11 +375,11 @@
     let terms = AdmissionConfig {
         seed: 2,
         groups: vec![(1.0, 1.0)],
-        tenants: vec![1.0],
-        target: Span::from_secs(1.0),
-        retry_after: start.director.max_retry_after,
-        most_waiting: 12,
-        hands: (2.0, 1.0, 4.0),
+        tenant_weights: vec![1.0],
+        min_start_target: Span::from_secs(1.0),
+        max_retry_after: start.director.max_retry_after,
+        max_waiting: 12,
+        concurrency_limits: (2.0, 1.0, 4.0),
     };
     EngineConfig { admission: Some(terms), ..start }
 }
@@ -387,7 +392,7 @@
         World { random, asked: BTreeMap::new(), out: BTreeMap::new(), playing: vec![], late: 0.0 };
     let mut lines = Vec::new();
     let (mut now, mut generation, mut next) = (0.0, 1, 1);
-    let mut inputs = vec![list(1, &[Standing::Ready; 3])];
+    let mut inputs = vec![list(1, &[NodeState::Ready; 3])];
     for round in 0..rounds {
         let effects = engine.round(Instant::from_ms(now), inputs.clone());
         for effect in &effects {
@@ -502,7 +507,7 @@
         if chance(&mut self.random, 0.02) {
             *generation += 1;
             let mut standing = || {
-                [Standing::Ready, Standing::Ready, Standing::Draining, Standing::Gone]
+                [NodeState::Ready, NodeState::Ready, NodeState::Draining, NodeState::Gone]
                     [self.random.rand_range(0..4) as usize]
             };
             inputs.push(list(*generation, &[standing(), standing(), standing()]));
@@ -556,9 +561,9 @@
 #[test]
 fn at_a_narrow_door_one_goes_in_others_wait_and_are_answered_in_time() {
     let engine = Engine::new(with_door(start(RetrySafety::Safe)), Instant::from_ms(0.0));
-    let names = (1..=3).map(|n| (id_of(&address(n)), format!("n{n}"))).collect();
+    let names = (1..=3).map(|n| (node_id(&address(n)), format!("n{n}"))).collect();
     let mut desk = Desk { engine, names, trace: String::new() };
-    desk.at(0.0, vec![list(1, &[Standing::Ready; 3])]);
+    desk.at(0.0, vec![list(1, &[NodeState::Ready; 3])]);
     desk.trace.clear();
     let ask = |n: u64| Input::SessionRequested {
         session: SessionId(n),
--- a/crates/lab/src/emulator/troubles.rs
+++ b/crates/lab/src/emulator/troubles.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ashglade_discovery::Standing;
+use ashglade_discovery::NodeState;
 
 use crate::day::Kind;
 use crate::day::schema::Trouble;
@@ -16,7 +16,7 @@
     Stop(Vec<usize>),
     Start(Vec<usize>),
     /// Lists tell it so long after.
-    Told(Vec<usize>, Standing, f64),
+    Told(Vec<usize>, NodeState, f64),
     /// Lists come so much later than usual.
     Stale(f64),
     DirectorsDown(Vec<usize>),
@@ -82,10 +82,10 @@
     let outage = |at: f64, span: f64, silent: bool| {
         let mut list = vec![(at, Change::Stop(on.clone()))];
         if silent && span > sizes.silent_notice {
-            list.push((at + sizes.silent_notice, Change::Told(on.clone(), Standing::Gone, 0.0)));
+            list.push((at + sizes.silent_notice, Change::Told(on.clone(), NodeState::Gone, 0.0)));
         }
         list.push((at + span, Change::Start(on.clone())));
-        list.push((at + span, Change::Told(on.clone(), Standing::Ready, 0.0)));
+        list.push((at + span, Change::Told(on.clone(), NodeState::Ready, 0.0)));
         list
     };
     match trouble.kind() {
@@ -110,7 +110,7 @@
         }
         Kind::Vanish => outage(at, span, true),
         Kind::Drain => {
-            let mut list = vec![(at, Change::Told(on.clone(), Standing::Draining, sizes.notice))];
+            let mut list = vec![(at, Change::Told(on.clone(), NodeState::Draining, sizes.notice))];
             list.extend(outage(end, 1.0, false));
             list
         }
--- a/crates/lab/src/emulator/world.rs
+++ b/crates/lab/src/emulator/world.rs
@@ -6,7 +6,7 @@
 use ashglade::ids::{NodeId, SetupNumber};
 use ashglade::interface::RetrySafety;
 use ashglade::time::Instant;
-use ashglade_discovery::{Entry, List, Standing};
+use ashglade_discovery::{NodeEntry, NodeList, NodeState};
 use ashglade_engine::{Input, SessionResponse};
 use ashglade_settings::{Settings, Title};
 use ashglade_shared::Word;
@@ -96,7 +96,7 @@
     /// Lists are told.
     Listed {
         nodes: Vec<usize>,
-        standing: Standing,
+        standing: NodeState,
         started: Option<f64>,
     },
     Second,
@@ -143,7 +143,7 @@
     pub cuts: talk::Cuts,
     pub fleet: Fleet,
     pub node_of: BTreeMap<NodeId, usize>,
-    pub list: List,
+    pub list: NodeList,
     stale: f64,
     pub drain_grace: f64,
     pub viewers: Vec<Viewer>,
@@ -197,10 +197,10 @@
         let (specs, entries) = play::nodes(day, &settings);
         // An address of its own for each; nothing is ever sent there.
         let place = |i: usize| [127, 1 + (i >> 16) as u8, (i >> 8) as u8, i as u8];
-        let entries: Vec<Entry> = entries
+        let entries: Vec<NodeEntry> = entries
             .into_iter()
             .enumerate()
-            .map(|(i, entry)| Entry { address: (place(i), 554).into(), ..entry })
+            .map(|(i, entry)| NodeEntry { address: (place(i), 554).into(), ..entry })
             .collect();
         let (uplinks, ladder, cold) = play::terms(&settings);
         let seed = day.seed.unwrap_or(0);
@@ -221,8 +221,8 @@
             shells: starts.into_iter().map(|(start, talker)| Shell::new(start, talker)).collect(),
             cuts: talk::Cuts::of(day),
             fleet: Fleet::new(specs, uplinks, ladder, cold, seed),
-            node_of: entries.iter().enumerate().map(|(i, entry)| (entry.node(), i)).collect(),
-            list: List { generation: 1, entries },
+            node_of: entries.iter().enumerate().map(|(i, entry)| (entry.node_id(), i)).collect(),
+            list: NodeList { generation: 1, entries },
             stale: 0.0,
             drain_grace: day.drain_grace_ms.unwrap_or(0.0) / 1e3,
             viewers: Vec::new(),
@@ -437,7 +437,7 @@
                 on.iter().for_each(|&i| self.fleet.start(now, i));
             }
             Change::Told(nodes, standing, after) => {
-                let started = (standing == Standing::Ready).then(|| self.secs());
+                let started = (standing == NodeState::Ready).then(|| self.secs());
                 self.plan(after + self.stale, Event::Listed { nodes, standing, started });
             }
             Change::Stale(by) => self.stale = by,
@@ -450,12 +450,12 @@
         }
     }
 
-    fn listed(&mut self, nodes: &[usize], standing: Standing, started: Option<f64>) {
+    fn listed(&mut self, nodes: &[usize], standing: NodeState, started: Option<f64>) {
         for &i in nodes {
             let Some(entry) = self.list.entries.get_mut(i) else { continue };
-            entry.standing = standing;
+            entry.state = standing;
             if let Some(started) = started {
-                entry.place.started = Some(Instant::from_ms((started * 1e3).floor()));
+                entry.info.started = Some(Instant::from_ms((started * 1e3).floor()));
             }
         }
         self.list.generation += 1;
@@ -464,7 +464,7 @@
             let shell = &mut self.shells[director];
             for &i in nodes {
                 match standing {
-                    Standing::Ready => drop(shell.leaves.remove(&i)),
+                    NodeState::Ready => drop(shell.leaves.remove(&i)),
                     _ => drop(shell.leaves.entry(i).or_insert(now)),
                 }
             }
@@ -526,10 +526,13 @@
                 let tally = engine.tally();
                 self.report.setups += tally.setups;
                 if let Some(door) = engine.admission() {
-                    let kept = door.view().promises;
+                    let kept = door.status().retries;
                     let (made, came, went_in) = &mut self.report.promised;
-                    (*made, *came, *went_in) =
-                        (*made + kept.made, *came + kept.came, *went_in + kept.went_in);
+                    (*made, *came, *went_in) = (
+                        *made + kept.slots_reserved,
+                        *came + kept.returned_in_slot,
+                        *went_in + kept.admitted,
+                    );
                 }
                 if tally.guarded + tally.doubled > 0 {
                     let (guarded, doubled) = (tally.guarded, tally.doubled);
--- a/crates/lab/src/lists.rs
+++ b/crates/lab/src/lists.rs
@@ -4,7 +4,7 @@
 use std::sync::Mutex;
 
 use ashglade::time::Instant;
-use ashglade_discovery::{Entry, List, Standing};
+use ashglade_discovery::{NodeEntry, NodeList, NodeState};
 use ashglade_judge::What;
 use ashglade_settings::{Names, write_boxes};
 use ashglade_standin::Log;
@@ -13,15 +13,15 @@
     names: Names,
     log: Log,
     /// By director: its file and the list as last written.
-    files: Mutex<Vec<(PathBuf, List)>>,
+    files: Mutex<Vec<(PathBuf, NodeList)>>,
     /// How much later than usual lists come just now, in seconds.
     stale: Mutex<f64>,
 }
 
 impl Lists {
     /// By director: its folder, and the nodes as it finds them.
-    pub fn new(names: Names, log: Log, of: Vec<(PathBuf, Vec<Entry>)>) -> Lists {
-        let list = |entries| List { generation: 1, entries };
+    pub fn new(names: Names, log: Log, of: Vec<(PathBuf, Vec<NodeEntry>)>) -> Lists {
+        let list = |entries| NodeList { generation: 1, entries };
         let files = of.into_iter().map(|(f, entries)| (f.join("boxes.txtpb"), list(entries))).collect();
         Lists { names, log, files: Mutex::new(files), stale: Mutex::new(0.0) }
     }
@@ -41,18 +41,18 @@
     }
 
     /// Tells every director that a node now stands so, and when it started if that is new.
-    pub fn tell(&self, node: usize, standing: Standing, started: Option<f64>) -> std::io::Result<()> {
+    pub fn tell(&self, node: usize, standing: NodeState, started: Option<f64>) -> std::io::Result<()> {
         let mut files = self.files.lock().unwrap_or_else(|broken| broken.into_inner());
         for (director, (path, list)) in files.iter_mut().enumerate() {
             let Some(entry) = list.entries.get_mut(node) else { continue };
-            entry.standing = standing;
+            entry.state = standing;
             if let Some(started) = started {
-                entry.place.started = Some(Instant::from_ms(started.floor()));
+                entry.info.started = Some(Instant::from_ms(started.floor()));
             }
             let node = entry.name.clone();
             list.generation += 1;
             put(path, &write_boxes(list, &self.names))?;
-            let (director, ready) = (director as u16, standing == Standing::Ready);
+            let (director, ready) = (director as u16, standing == NodeState::Ready);
             self.log.saw(What::Listed { director, node, ready });
         }
         Ok(())
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -183,21 +183,23 @@
 fn door_cost(waiting: u64) -> f64 {
     use ashglade::ids::{GroupId, SessionId};
     use ashglade::time::{Instant as At, Span};
-    use ashglade_admission::{Came, Door, Request, Terms, Verdict};
+    use ashglade_admission::{
+        AdmissionConfig, AdmissionController, AdmissionDecision, AdmissionRequest, SetupOutcome,
+    };
     const REQUESTS: u64 = 200_000;
-    let terms = Terms {
+    let terms = AdmissionConfig {
         seed: 1,
         groups: vec![(1.0, 1.0), (2.0, 2.0)],
-        tenants: vec![1.0],
-        target: Span::from_secs(3600.0),
-        retry_after: Some(Span::from_secs(8.0)),
-        most_waiting: 10_000,
-        hands: (1.0, 1.0, 1.0),
+        tenant_weights: vec![1.0],
+        min_start_target: Span::from_secs(3600.0),
+        max_retry_after: Some(Span::from_secs(8.0)),
+        max_waiting: 10_000,
+        concurrency_limits: (1.0, 1.0, 1.0),
     };
-    let mut door = Door::new(terms, At::from_ms(0.0));
+    let mut door = AdmissionController::new(terms, At::from_ms(0.0));
     let (start_target, setup_timeout) = (Span::from_secs(3600.0), Span::from_secs(36_000.0));
-    let request = |n: u64| Request {
-        sess: SessionId(n),
+    let request = |n: u64| AdmissionRequest {
+        session: SessionId(n),
         group: GroupId((n % 2) as usize),
         tenant: 0,
         client: n,
@@ -210,9 +212,9 @@
     for n in 0..REQUESTS {
         let now = At::from_ms(n as f64 * 0.01);
         door.offer(request(waiting + n), now);
-        for verdict in door.round(now) {
-            if let Verdict::In { sess, .. } = verdict {
-                door.done(sess, Came::Plays, now);
+        for verdict in door.poll(now) {
+            if let AdmissionDecision::Admit { session: sess, .. } = verdict {
+                door.complete(sess, SetupOutcome::Started, now);
                 done += 1;
             }
         }
@@ -224,7 +226,7 @@
 pub struct Set {
     pub directors: Directors,
     pub fleet: Arc<Fleet>,
-    lists: (Vec<std::path::PathBuf>, Vec<ashglade_discovery::Entry>, ashglade_settings::Names),
+    lists: (Vec<std::path::PathBuf>, Vec<ashglade_discovery::NodeEntry>, ashglade_settings::Names),
     log: ashglade_standin::Log,
 }
 
@@ -258,9 +260,9 @@
         .nodes
         .iter()
         .zip(entries)
-        .map(|(node, entry)| ashglade_discovery::Entry {
+        .map(|(node, entry)| ashglade_discovery::NodeEntry {
             address: node.address,
-            http: Some(node.http),
+            http_address: Some(node.http),
             ..entry
         })
         .collect();
@@ -311,9 +313,9 @@
 
     // The same director's settings, with a node that sends as fast as it is read.
     let hose = firehose().await?;
-    entries.iter_mut().for_each(|e| e.standing = ashglade_discovery::Standing::Gone);
+    entries.iter_mut().for_each(|e| e.state = ashglade_discovery::NodeState::Gone);
     if let Some(entry) = entries.first_mut() {
-        (entry.address, entry.standing) = (hose, ashglade_discovery::Standing::Ready);
+        (entry.address, entry.state) = (hose, ashglade_discovery::NodeState::Ready);
     }
     let of = folders.into_iter().map(|folder| (folder, entries.clone())).collect();
     Lists::new(names.clone(), log, of).write_all().map_err(|e| e.to_string())?;
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -7,7 +7,7 @@
 
 use ashglade::ids::{CellId, ModelId, ZoneId};
 use ashglade::interface::NodeInfo;
-use ashglade_discovery::{Entry, Standing};
+use ashglade_discovery::{NodeEntry, NodeState};
 use ashglade_judge::{self as judge, Plan, Traffic, Verdict, What};
 use ashglade_settings::Settings;
 use ashglade_standin::node::ColdPace;
@@ -84,12 +84,12 @@
     let seed = day.seed.unwrap_or(0);
     let fleet = Fleet::start(specs, uplinks, ladder, cold, seed, log.clone()).await;
     let fleet = fleet.map_err(|e| format!("the nodes' listeners: {e}"))?;
-    let entries = fleet.nodes.iter().zip(entries).map(|(node, entry)| Entry {
+    let entries = fleet.nodes.iter().zip(entries).map(|(node, entry)| NodeEntry {
         address: node.address,
-        http: Some(node.http),
+        http_address: Some(node.http),
         ..entry
     });
-    let entries: Vec<Entry> = entries.collect();
+    let entries: Vec<NodeEntry> = entries.collect();
 
     let trouble = |e: std::io::Error| format!("a relay: {e}");
     let net = if how.relayed {
@@ -113,7 +113,7 @@
             for (n, entry) in entries.iter_mut().enumerate() {
                 let path = net.path(Party::Director(*number), Party::Node(n), entry.address);
                 entry.address = path.await.map_err(trouble)?;
-                (entry.http, entry.id) = (None, Some(entry.name.clone()));
+                (entry.http_address, entry.id) = (None, Some(entry.name.clone()));
             }
         }
         of.push((folder.clone(), entries));
@@ -317,7 +317,7 @@
 }
 
 /// Nodes one after the other over zones and cells.
-pub fn nodes(day: &Day, settings: &Settings) -> (Vec<Spec>, Vec<Entry>) {
+pub fn nodes(day: &Day, settings: &Settings) -> (Vec<Spec>, Vec<NodeEntry>) {
     let head = &settings.headend;
     let (mut specs, mut entries) = (Vec::new(), Vec::new());
     for kind in &day.nodes {
@@ -338,7 +338,14 @@
             let place =
                 NodeInfo { zone, model: ModelId(model as u8), cell: CellId(cell), weight, started: None };
             let address: SocketAddr = ([127, 0, 0, 1], 0).into();
-            entries.push(Entry { name, address, http: None, id: None, place, standing: Standing::Ready });
+            entries.push(NodeEntry {
+                name,
+                address,
+                http_address: None,
+                id: None,
+                info: place,
+                state: NodeState::Ready,
+            });
         }
     }
     (specs, entries)
@@ -369,8 +376,8 @@
     let nodes = specs.iter().zip(&entries).map(|(spec, entry)| judge::Node {
         name: spec.name.clone(),
         places: spec.places as f64,
-        zone: entry.place.zone.0,
-        cell: entry.place.cell.0,
+        zone: entry.info.zone.0,
+        cell: entry.info.cell.0,
     });
     Plan {
         groups: groups.collect(),
--- a/crates/lab/src/trouble.rs
+++ b/crates/lab/src/trouble.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashglade_discovery::Standing;
+use ashglade_discovery::NodeState;
 use ashglade_standin::Faults;
 use tokio::time::Instant;
 
@@ -101,7 +101,7 @@
         Kind::Vanish => outage(&stage, &on, span, true).await?,
         Kind::Drain => {
             for &i in &on {
-                told(&stage, i, Standing::Draining, None, stage.notice).await?;
+                told(&stage, i, NodeState::Draining, None, stage.notice).await?;
             }
             tokio::time::sleep(span).await;
             outage(&stage, &on, Duration::from_secs(1), false).await?;
@@ -135,7 +135,7 @@
 async fn told(
     stage: &Stage,
     node: usize,
-    standing: Standing,
+    standing: NodeState,
     started: Option<f64>,
     after: Duration,
 ) -> Result<(), String> {
@@ -149,7 +149,7 @@
     on.iter().for_each(|&i| stage.fleet.stop(i));
     if silent && span > stage.silent_notice {
         for &i in on {
-            told(stage, i, Standing::Gone, None, Duration::ZERO).await?;
+            told(stage, i, NodeState::Gone, None, Duration::ZERO).await?;
         }
     }
     tokio::time::sleep(span).await;
@@ -158,7 +158,7 @@
         stage.fleet.restart(i).map_err(|e| format!("node {i} does not come back: {e}"))?;
     }
     for &i in on {
-        told(stage, i, Standing::Ready, Some(started), Duration::ZERO).await?;
+        told(stage, i, NodeState::Ready, Some(started), Duration::ZERO).await?;
     }
     Ok(())
 }
--- a/crates/settings/src/boxes.rs
+++ b/crates/settings/src/boxes.rs
@@ -3,8 +3,8 @@
 use ashglade::ids::{CellId, ModelId, ZoneId};
 use ashglade::interface::NodeInfo;
 use ashglade::time::Instant;
-use ashglade_discovery::watch::checksum;
-use ashglade_discovery::{Entry, List, Standing};
+use ashglade_discovery::sources::checksum;
+use ashglade_discovery::{NodeEntry, NodeList, NodeState};
 
 use crate::headend::named;
 use crate::schema::boxes as schema;
@@ -21,12 +21,12 @@
 }
 
 /// Reads and checks a box list.
-pub fn boxes(file: &str, text: &str, names: &Names) -> Result<List, Trouble> {
+pub fn boxes(file: &str, text: &str, names: &Names) -> Result<NodeList, Trouble> {
     Ok(watched_boxes(file, text, names)?.0)
 }
 
 /// The same, with how many boxes its writer says that it leaves out on purpose.
-pub fn watched_boxes(file: &str, text: &str, names: &Names) -> Result<(List, Option<usize>), Trouble> {
+pub fn watched_boxes(file: &str, text: &str, names: &Names) -> Result<(NodeList, Option<usize>), Trouble> {
     let (read, at) = text::read::<schema::Boxes>(crate::SCHEMA, "ashglade.boxes.Boxes", file, text)?;
     let generation = at.need("generation", read.generation)?;
     if let Some(told) = &read.checksum {
@@ -56,9 +56,9 @@
             started: node.started_ms.filter(|&ms| ms > 0).map(|ms| Instant::from_ms(ms as f64)),
         };
         let standing = match node.standing() {
-            schema::Standing::Ready => Standing::Ready,
-            schema::Standing::Draining => Standing::Draining,
-            schema::Standing::Gone => Standing::Gone,
+            schema::Standing::Ready => NodeState::Ready,
+            schema::Standing::Draining => NodeState::Draining,
+            schema::Standing::Gone => NodeState::Gone,
         };
         let http = match &node.http {
             Some(http) => Some(http.parse().map_err(|_| {
@@ -70,24 +70,31 @@
             None => None,
         };
         let name = named(&at, &field("name"), &node.name)?;
-        entries.push(Entry { name, address, http, id: node.id.clone(), place, standing });
+        entries.push(NodeEntry {
+            name,
+            address,
+            http_address: http,
+            id: node.id.clone(),
+            info: place,
+            state: standing,
+        });
     }
-    Ok((List { generation, entries }, read.leaves_out.map(|n| n as usize)))
+    Ok((NodeList { generation, entries }, read.leaves_out.map(|n| n as usize)))
 }
 
 /// Writes a list as [`boxes`] reads it.
-pub fn write_boxes(list: &List, names: &Names) -> String {
+pub fn write_boxes(list: &NodeList, names: &Names) -> String {
     let mut text = format!("generation: {}\n", list.generation);
     let name = |names: &[String], i: u8| names.get(usize::from(i)).cloned().unwrap_or_default();
     for entry in &list.entries {
-        let place = &entry.place;
+        let place = &entry.info;
         let started = place.started.map_or(0.0, Instant::as_ms);
-        let http = entry.http.map_or_else(String::new, |http| format!(" http: \"{http}\""));
+        let http = entry.http_address.map_or_else(String::new, |http| format!(" http: \"{http}\""));
         let id = entry.id.as_ref().map_or_else(String::new, |id| format!(" id: {id:?}"));
-        let standing = match entry.standing {
-            Standing::Ready => "READY",
-            Standing::Draining => "DRAINING",
-            Standing::Gone => "GONE",
+        let standing = match entry.state {
+            NodeState::Ready => "READY",
+            NodeState::Draining => "DRAINING",
+            NodeState::Gone => "GONE",
         };
         text += &format!(
             "box {{ name: {:?} address: \"{}\" zone: {:?} model: {:?} cell: {} weight: {} started_ms: {started:.0} \
