--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -155,7 +155,7 @@
 fn show(path: &std::path::Path) -> Result<String, String> {
     let (settings, ..) = ashglade_director::load(path).map_err(|e| e.to_string())?;
     let at = ashglade_director::shared_view(&settings, path).ok_or("settings name no talk.share.view")?;
-    let (view, age) = view::<ashglade_peer_transport::View>(&at)?;
+    let (view, age) = view::<ashglade_peer_transport::PeerStatus>(&at)?;
     Ok(format!("as it was {age:.0} s ago\n{view}"))
 }
 
--- a/crates/director/src/attempt.rs
+++ b/crates/director/src/attempt.rs
@@ -60,7 +60,7 @@
     /// False if it must not be written any longer: a director that stood still since it decided may have decided it by
     /// rights that are another's by now. Only where directors share any.
     pub async fn writing(&self, shared: &Shared) -> bool {
-        let within = ashglade_peer_transport::under_way(&shared.settings);
+        let within = ashglade_peer_transport::max_send_delay(&shared.settings);
         if shared.settings.talk.is_some() && shared.clock.now() - self.decided > within {
             return false;
         }
--- a/crates/director/src/lib.rs
+++ b/crates/director/src/lib.rs
@@ -18,7 +18,7 @@
 mod viewer;
 
 pub use ashglade_clock::Clock;
-pub use ashglade_peer_transport::Defect;
+pub use ashglade_peer_transport::InjectedFault;
 pub use files::Trouble;
 pub use lists::Files;
 pub use serve::{Options, door_view, load, replay_start, serve, shared_view};
--- a/crates/director/src/orders.rs
+++ b/crates/director/src/orders.rs
@@ -90,8 +90,8 @@
     }
 }
 
-impl ashglade_peer_transport::Engine for Core {
-    async fn tell(&self, input: Input) {
+impl ashglade_peer_transport::EngineSink for Core {
+    async fn send_input(&self, input: Input) {
         Core::tell(self, input).await;
     }
 }
--- a/crates/director/src/serve.rs
+++ b/crates/director/src/serve.rs
@@ -36,7 +36,7 @@
     /// Where each round is written, if anywhere.
     pub record: Option<PathBuf>,
     /// Broken on purpose by the lab, to see that its judge finds out. No command in service sets it.
-    pub defect: Option<ashglade_peer_transport::Defect>,
+    pub defect: Option<ashglade_peer_transport::InjectedFault>,
 }
 
 /// Reads and checks settings and box lists; the list that would be in force, and where lists are read.
@@ -139,10 +139,12 @@
     let (seen, outcomes) = mpsc::channel(INPUTS);
     let talk = talk.and_then(|socket| {
         let view = shared_view(&settings, &options.settings);
-        ashglade_peer_transport::Started::new(&settings, socket, clock, outcomes, view).map(|mut started| {
-            started.terms.defect = options.defect;
-            started
-        })
+        ashglade_peer_transport::PeerTransport::new(&settings, socket, clock, outcomes, view).map(
+            |mut started| {
+                started.config.injected_fault = options.defect;
+                started
+            },
+        )
     });
     // Only what is shared by settings is told of.
     let seen = settings.talk.as_ref().and_then(|talk| talk.share.as_ref()).map(|_| seen);
--- a/crates/lab/src/emulator/talk.rs
+++ b/crates/lab/src/emulator/talk.rs
@@ -5,9 +5,9 @@
 use ashglade::time::Instant;
 use ashglade_engine::{Input, SetupResult};
 use ashglade_peer_transport::codec::{Codec, Datagram};
-use ashglade_peer_transport::{LOOK, Teller};
+use ashglade_peer_transport::{EngineUpdates, TICK_INTERVAL};
 use ashglade_settings::Settings;
-use ashglade_shared::{Member, Terms, Word, verdict};
+use ashglade_shared::{FleetConfig, PeerMessage, SharedState, health_from_outcome};
 
 use super::world::{Event, World};
 use crate::day::Day;
@@ -17,19 +17,19 @@
 
 /// One director's part.
 pub(super) struct Talker {
-    terms: Terms,
+    terms: FleetConfig,
     codec: Codec,
     repeats_span: Option<ashglade::time::Span>,
     shares: bool,
-    state: Option<(Member, Teller)>,
+    state: Option<(SharedState, EngineUpdates)>,
 }
 
 impl Talker {
     pub fn new(settings: &Settings) -> Option<Talker> {
         Some(Talker {
-            terms: ashglade_peer_transport::terms(settings)?,
+            terms: ashglade_peer_transport::fleet_config(settings)?,
             codec: Codec::new(&settings.talk.as_ref()?.secret)?,
-            repeats_span: ashglade_peer_transport::repeats_span(settings),
+            repeats_span: ashglade_peer_transport::retry_window(settings),
             shares: settings.talk.as_ref()?.share.is_some(),
             state: None,
         })
@@ -38,33 +38,33 @@
     pub fn up(&mut self, now: Instant) {
         // A process above those before it.
         let process = now.as_ms() as u64 + 1;
-        let member = Member::start(self.terms.clone(), process, now);
-        self.state = Some((member, Teller::new(self.repeats_span)));
+        let member = SharedState::new(self.terms.clone(), process, now);
+        self.state = Some((member, EngineUpdates::new(self.repeats_span)));
     }
 
     pub fn saw(&mut self, seen: &[SetupResult], now: Instant) {
         let Some((member, _)) = self.state.as_mut().filter(|_| self.shares) else { return };
         for seen in seen {
-            if let Some(verdict) = verdict(seen.failure) {
-                member.saw(seen.node.0, verdict, now);
+            if let Some(verdict) = health_from_outcome(seen.failure) {
+                member.record_outcome(seen.node.0, verdict, now);
             }
         }
     }
 
     /// What is said, and what the engine is told; a word that came is taken first.
-    fn turn(&mut self, word: Option<&Word>, now: Instant) -> (Vec<Word>, Vec<Input>, usize) {
+    fn turn(&mut self, word: Option<&PeerMessage>, now: Instant) -> (Vec<PeerMessage>, Vec<Input>, usize) {
         let Some((member, teller)) = &mut self.state else { return Default::default() };
         let out = match word {
-            Some(word) => member.take(word, now),
+            Some(word) => member.receive(word, now),
             None => member.tick(now),
         };
-        let held = if word.is_none() { member.words(now).count() } else { 0 };
-        (out, teller.look(member, &self.terms, now).1, held)
+        let held = if word.is_none() { member.health_reports(now).count() } else { 0 };
+        (out, teller.poll(member, &self.terms, now).1, held)
     }
 
-    fn size(&self, word: &Word) -> usize {
-        let datagram = Datagram { process: 1 << 40, number: 1 << 20, word: word.clone() };
-        self.codec.write(&datagram).map_or(0, |bytes| bytes.len())
+    fn size(&self, word: &PeerMessage) -> usize {
+        let datagram = Datagram { process: 1 << 40, sequence: 1 << 20, message: word.clone() };
+        self.codec.encode(&datagram).map_or(0, |bytes| bytes.len())
     }
 }
 
@@ -126,17 +126,17 @@
     pub(super) fn talks(&mut self, director: u16, life: u32) {
         if self.shells[usize::from(director)].life == life {
             self.talker_turns(director, None);
-            self.plan(LOOK.as_secs_f64(), Event::Talks { director, life });
+            self.plan(TICK_INTERVAL.as_secs_f64(), Event::Talks { director, life });
         }
     }
 
-    pub(super) fn said(&mut self, word: &Word) {
+    pub(super) fn said(&mut self, word: &PeerMessage) {
         if self.shells[usize::from(word.to)].engine.is_some() {
             self.talker_turns(word.to, Some(word));
         }
     }
 
-    fn talker_turns(&mut self, director: u16, word: Option<&Word>) {
+    fn talker_turns(&mut self, director: u16, word: Option<&PeerMessage>) {
         let (now, secs) = (self.instant(), self.secs());
         let shell = &mut self.shells[usize::from(director)];
         let life = shell.life;
--- a/crates/lab/src/emulator/world.rs
+++ b/crates/lab/src/emulator/world.rs
@@ -9,7 +9,7 @@
 use ashglade_discovery::{NodeEntry, NodeList, NodeState};
 use ashglade_engine::{Input, SessionResponse};
 use ashglade_settings::{Settings, Title};
-use ashglade_shared::Word;
+use ashglade_shared::PeerMessage;
 
 use super::crowd::Viewer;
 use super::nodes::{Fleet, Handled, Key};
@@ -92,7 +92,7 @@
         life: u32,
     },
     /// What one says to another comes there.
-    Said(Word),
+    Said(PeerMessage),
     /// Lists are told.
     Listed {
         nodes: Vec<usize>,
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use ashglade_director::Defect;
+use ashglade_director::InjectedFault;
 use oorandom::Rand64;
 
 use crate::day::schema::{Day, Deed, Fault, Passing, Said};
@@ -10,11 +10,11 @@
 use crate::play::{self, How, Played};
 
 /// What a director is broken by, by its name.
-pub fn defect(name: &str) -> Result<Defect, String> {
+pub fn defect(name: &str) -> Result<InjectedFault, String> {
     match name {
-        "no-rest" => Ok(Defect::NoRest),
-        "from-answer" => Ok(Defect::FromAnswer),
-        "twice" => Ok(Defect::Twice),
+        "no-rest" => Ok(InjectedFault::NoGuardInterval),
+        "from-answer" => Ok(InjectedFault::LeaseFromReply),
+        "twice" => Ok(InjectedFault::DoubleGrant),
         _ => Err(format!("{name:?} is no defect; there is no-rest, from-answer, twice")),
     }
 }
--- a/crates/lab/src/net/said.rs
+++ b/crates/lab/src/net/said.rs
@@ -2,8 +2,8 @@
 
 use ashglade_judge::What;
 use ashglade_peer_transport::codec::Datagram;
-use ashglade_shared::rights::{Message as Rights, Right};
-use ashglade_shared::{Body, spread};
+use ashglade_shared::permits::{Permit, PermitMessage};
+use ashglade_shared::{MessageBody, gossip::GossipMessage};
 
 use crate::day::schema::Said;
 
@@ -26,39 +26,43 @@
 
 /// What a datagram between directors is.
 pub fn datagram(datagram: &Datagram) -> Said {
-    match &datagram.word.body {
-        Body::Rights(Rights::Ask { .. }) => Said::Ask,
-        Body::Rights(Rights::Grant { .. }) => Said::Grant,
-        Body::Rights(Rights::Back { .. }) => Said::Back,
-        Body::Spread(spread::Message::Words(_)) => Said::Words,
-        Body::Spread(spread::Message::Digest { .. }) => Said::Digest,
+    match &datagram.message.body {
+        MessageBody::Permits(PermitMessage::Request { .. }) => Said::Ask,
+        MessageBody::Permits(PermitMessage::Grant { .. }) => Said::Grant,
+        MessageBody::Permits(PermitMessage::Release { .. }) => Said::Back,
+        MessageBody::Gossip(GossipMessage::Reports(_)) => Said::Words,
+        MessageBody::Gossip(GossipMessage::Digest { .. }) => Said::Digest,
     }
 }
 
 /// What the judge is told of it.
 pub fn sight(datagram: &Datagram, passed: bool) -> Option<What> {
-    let (from, to) = (datagram.word.from, datagram.word.to);
-    let plain = |rights: &[Right]| rights.iter().map(|right| (right.pool, right.number)).collect();
-    match &datagram.word.body {
-        Body::Rights(Rights::Ask { process, number, .. }) => {
-            Some(What::RightsAsked { holder: from, voter: to, process: *process, ask: *number })
+    let (from, to) = (datagram.message.from, datagram.message.to);
+    let plain = |rights: &[Permit]| rights.iter().map(|right| (right.pool, right.number)).collect();
+    match &datagram.message.body {
+        MessageBody::Permits(PermitMessage::Request { process_id, round, .. }) => {
+            Some(What::RightsAsked { holder: from, voter: to, process: *process_id, ask: *round })
         }
-        Body::Rights(Rights::Grant { process, number, rights, .. }) => Some(What::RightsGranted {
-            passed,
-            voter: from,
-            holder: to,
-            process: *process,
-            ask: *number,
-            rights: plain(rights),
-        }),
-        Body::Rights(Rights::Back { process, number, rights }) => Some(What::RightsBack {
-            holder: from,
-            voter: to,
-            process: *process,
-            ask: *number,
-            rights: plain(rights),
-        }),
-        Body::Spread(_) => None,
+        MessageBody::Permits(PermitMessage::Grant { process_id, round, permits, .. }) => {
+            Some(What::RightsGranted {
+                passed,
+                voter: from,
+                holder: to,
+                process: *process_id,
+                ask: *round,
+                rights: plain(permits),
+            })
+        }
+        MessageBody::Permits(PermitMessage::Release { process_id, round, permits }) => {
+            Some(What::RightsBack {
+                holder: from,
+                voter: to,
+                process: *process_id,
+                ask: *round,
+                rights: plain(permits),
+            })
+        }
+        MessageBody::Gossip(_) => None,
     }
 }
 
--- a/crates/lab/src/net/udp.rs
+++ b/crates/lab/src/net/udp.rs
@@ -20,7 +20,7 @@
         if sender != source {
             continue;
         }
-        let datagram = net.codec.as_ref().and_then(|codec| codec.read(&bytes[..size]).ok());
+        let datagram = net.codec.as_ref().and_then(|codec| codec.decode(&bytes[..size]).ok());
         if let Some(datagram) = &datagram {
             net.passing(said::datagram(datagram), parties.0, parties.1).await;
         }
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -395,21 +395,21 @@
 
 /// What directors share, for the judge.
 fn shared(settings: &Settings) -> Option<judge::Shared> {
-    let terms = ashglade_peer_transport::terms(settings)?;
-    let council = |home| terms.council(home).into_iter().map(|director| director as u16).collect();
+    let terms = ashglade_peer_transport::fleet_config(settings)?;
+    let council = |home| terms.voters(home).into_iter().map(|director| director as u16).collect();
     let repeats = settings.talk.as_ref()?.share.as_ref()?.repeats;
     Some(judge::Shared {
         lease: terms.lease.as_ms(),
-        drift: terms.drift,
-        rest: terms.rest.as_ms(),
-        under_way: ashglade_peer_transport::under_way(settings).as_ms(),
+        drift: terms.max_clock_drift,
+        rest: terms.guard_interval.as_ms(),
+        under_way: ashglade_peer_transport::max_send_delay(settings).as_ms(),
         stalled: 0.0,
-        councils: (0..terms.directors()).map(council).collect(),
+        councils: (0..terms.director_count()).map(council).collect(),
         repeats: repeats.map(|repeats| judge::Repeats {
             at_node: repeats.at_node,
             kept: repeats.kept,
             span: repeats.span.as_ms(),
-            pool: ashglade_peer_transport::REPEATS as u8,
+            pool: ashglade_peer_transport::RETRY_POOL as u8,
         }),
     })
 }
--- a/crates/peer-transport/src/codec.rs
+++ b/crates/peer-transport/src/codec.rs
@@ -1,16 +1,16 @@
 //! Datagram format: a version byte, a message authentication code (the first 16 bytes of an HMAC-SHA-256 over
 //! the version and the payload), and the payload, encoded by postcard.
 
-use ashglade_shared::Word;
+use ashglade_shared::PeerMessage;
 use hmac::{Hmac, Mac};
 use serde::{Deserialize, Serialize};
 use sha2::Sha256;
 
 /// Format version; datagrams of any other version are discarded.
-const VERSION: u8 = 2;
-const SIGNATURE: usize = 16;
+const FORMAT_VERSION: u8 = 2;
+const MAC_BYTES: usize = 16;
 /// Maximum size of a datagram, in bytes.
-pub const MOST: usize = 8 * 1024;
+pub const MAX_DATAGRAM_BYTES: usize = 8 * 1024;
 
 /// Payload of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -18,13 +18,13 @@
     /// Number of the sending process, higher than that of every previous process of the same director.
     pub process: u64,
     /// Sequence number of the datagram within its process.
-    pub number: u64,
-    pub word: Word,
+    pub sequence: u64,
+    pub message: PeerMessage,
 }
 
 /// Why a datagram is discarded. The variant names appear in the status view and the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub enum Passed {
+pub enum DiscardReason {
     /// Longer than [`MAX_DATAGRAM_BYTES`].
     TooLong,
     /// The format version is another one.
@@ -53,83 +53,83 @@
     }
 
     /// Returns the bytes to send, or `None` if they would exceed [`MAX_DATAGRAM_BYTES`].
-    pub fn write(&self, datagram: &Datagram) -> Option<Vec<u8>> {
-        let body = postcard::to_allocvec(datagram).ok()?;
-        let mut bytes = vec![VERSION];
-        bytes.extend(&self.mac(&body).finalize().into_bytes()[..SIGNATURE]);
-        bytes.extend(body);
-        (bytes.len() <= MOST).then_some(bytes)
+    pub fn encode(&self, datagram: &Datagram) -> Option<Vec<u8>> {
+        let payload = postcard::to_allocvec(datagram).ok()?;
+        let mut bytes = vec![FORMAT_VERSION];
+        bytes.extend(&self.hmac(&payload).finalize().into_bytes()[..MAC_BYTES]);
+        bytes.extend(payload);
+        (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
-    fn mac(&self, body: &[u8]) -> Hmac<Sha256> {
-        let mut mac = self.key.clone();
-        mac.update(&[VERSION]);
-        mac.update(body);
-        mac
+    fn hmac(&self, payload: &[u8]) -> Hmac<Sha256> {
+        let mut hmac = self.key.clone();
+        hmac.update(&[FORMAT_VERSION]);
+        hmac.update(payload);
+        hmac
     }
 
     /// Checks and decodes a received datagram.
-    pub fn read(&self, bytes: &[u8]) -> Result<Datagram, Passed> {
-        if bytes.len() > MOST {
-            return Err(Passed::TooLong);
+    pub fn decode(&self, bytes: &[u8]) -> Result<Datagram, DiscardReason> {
+        if bytes.len() > MAX_DATAGRAM_BYTES {
+            return Err(DiscardReason::TooLong);
         }
-        let (&version, rest) = bytes.split_first().ok_or(Passed::Malformed)?;
-        if version != VERSION {
-            return Err(Passed::Version);
+        let (&version, rest) = bytes.split_first().ok_or(DiscardReason::Malformed)?;
+        if version != FORMAT_VERSION {
+            return Err(DiscardReason::Version);
         }
-        let (signature, body) = rest.split_at_checked(SIGNATURE).ok_or(Passed::Forged)?;
-        self.mac(body).verify_truncated_left(signature).map_err(|_| Passed::Forged)?;
-        match postcard::take_from_bytes(body) {
+        let (mac, payload) = rest.split_at_checked(MAC_BYTES).ok_or(DiscardReason::Forged)?;
+        self.hmac(payload).verify_truncated_left(mac).map_err(|_| DiscardReason::Forged)?;
+        match postcard::take_from_bytes(payload) {
             Ok((datagram, [])) => Ok(datagram),
-            _ => Err(Passed::Malformed),
+            _ => Err(DiscardReason::Malformed),
         }
     }
 }
 
 #[cfg(test)]
 mod tests {
-    use ashglade_shared::rights::{Message, Right};
-    use ashglade_shared::{Body, Word};
+    use ashglade_shared::permits::{Permit, PermitMessage};
+    use ashglade_shared::{MessageBody, PeerMessage};
 
     use super::*;
 
     fn datagram() -> Datagram {
-        let rights = vec![Right { pool: 0, number: 3 }, Right { pool: 1, number: 300 }];
-        let ask = Message::Ask { process: 77, number: 5, rights, look: vec![2] };
+        let permits = vec![Permit { pool: 0, number: 3 }, Permit { pool: 1, number: 300 }];
+        let request = PermitMessage::Request { process_id: 77, round: 5, permits, queried_owners: vec![2] };
         Datagram {
             process: 1_700_000_000_000,
-            number: 9,
-            word: Word { from: 1, to: 2, terms: 99, body: Body::Rights(ask) },
+            sequence: 9,
+            message: PeerMessage { from: 1, to: 2, config_digest: 99, body: MessageBody::Permits(request) },
         }
     }
 
     #[test]
-    fn what_is_written_reads_back_and_nothing_changed_does() {
+    fn encoded_datagrams_decode_and_altered_ones_do_not() {
         let codec = Codec::new("0123456789abcdef").unwrap();
-        let bytes = codec.write(&datagram()).unwrap();
+        let bytes = codec.encode(&datagram()).unwrap();
         assert_eq!(bytes.len(), 39);
-        assert_eq!(codec.read(&bytes), Ok(datagram()));
+        assert_eq!(codec.decode(&bytes), Ok(datagram()));
         for i in 0..bytes.len() {
-            let mut changed = bytes.clone();
-            changed[i] ^= 1;
-            let wanted = if i == 0 { Passed::Version } else { Passed::Forged };
-            assert_eq!(codec.read(&changed), Err(wanted), "byte {i}");
-            assert!(codec.read(&bytes[..i]).is_err(), "cut to {i}");
+            let mut altered = bytes.clone();
+            altered[i] ^= 1;
+            let expected = if i == 0 { DiscardReason::Version } else { DiscardReason::Forged };
+            assert_eq!(codec.decode(&altered), Err(expected), "byte {i}");
+            assert!(codec.decode(&bytes[..i]).is_err(), "cut to {i}");
         }
-        assert_eq!(codec.read(&[&bytes[..], b"x"].concat()), Err(Passed::Forged));
-        assert_eq!(codec.read(&vec![VERSION; MOST + 1]), Err(Passed::TooLong));
+        assert_eq!(codec.decode(&[&bytes[..], b"x"].concat()), Err(DiscardReason::Forged));
+        assert_eq!(codec.decode(&vec![FORMAT_VERSION; MAX_DATAGRAM_BYTES + 1]), Err(DiscardReason::TooLong));
         let other = Codec::new("another secret, as long").unwrap();
-        assert_eq!(other.read(&bytes), Err(Passed::Forged));
+        assert_eq!(other.decode(&bytes), Err(DiscardReason::Forged));
     }
 
     #[test]
-    fn signed_and_of_another_shape_is_passed_over_whole() {
+    fn authentic_but_malformed_payloads_are_rejected() {
         let codec = Codec::new("0123456789abcdef").unwrap();
-        for body in [&b""[..], b"\x01", &[0xff; 60]] {
-            let mut bytes = vec![VERSION];
-            bytes.extend(&codec.mac(body).finalize().into_bytes()[..SIGNATURE]);
-            bytes.extend(body);
-            assert_eq!(codec.read(&bytes), Err(Passed::Malformed));
+        for payload in [&b""[..], b"\x01", &[0xff; 60]] {
+            let mut bytes = vec![FORMAT_VERSION];
+            bytes.extend(&codec.hmac(payload).finalize().into_bytes()[..MAC_BYTES]);
+            bytes.extend(payload);
+            assert_eq!(codec.decode(&bytes), Err(DiscardReason::Malformed));
         }
     }
 }
--- a/crates/peer-transport/src/terms.rs
+++ b/crates/peer-transport/src/config.rs
@@ -4,68 +4,71 @@
 
 use ashglade::time::Span;
 use ashglade_settings::Settings;
-use ashglade_shared::{Pool, Terms};
+use ashglade_shared::{FleetConfig, PermitPool};
 
 /// Interval at which held permits are checked, as leases end without any message.
-pub const LOOK: Duration = Duration::from_millis(100);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Time before the end of a lease at which its permit is given up, in seconds. SETUPs decided by then reach
 /// their node before the guard interval ends.
-pub const EARLY: f64 = 0.25;
+pub const RELEASE_MARGIN_SECONDS: f64 = 0.25;
 /// Index of the permit pool for turns at nodes in slow start.
-pub const TURNS: usize = 0;
+pub const SLOW_START_POOL: usize = 0;
 /// Index of the permit pool for further SETUPs at a node.
-pub const REPEATS: usize = 1;
+pub const RETRY_POOL: usize = 1;
 /// Maximum time that tasks may wait for each other between a decision and the first byte of its SETUP, in
 /// seconds, besides the time to connect. It must be below [`RELEASE_MARGIN_SECONDS`].
-pub const LATE: f64 = 0.2;
+pub const MAX_TASK_DELAY_SECONDS: f64 = 0.2;
 /// Interval that in practice never ends, in seconds: gossip and the expiry of reports are disabled where
 /// directors share nothing but slow-start turns.
-const NEVER: f64 = 1e9;
+const DISABLED_INTERVAL_SECONDS: f64 = 1e9;
 
 /// Returns the maximum time between a decision and the first byte of its SETUP. After that, the SETUP is not
 /// sent.
-pub fn under_way(settings: &Settings) -> Span {
-    Span::from_secs(settings.front.connect_timeout.as_secs_f64() + LATE)
+pub fn max_send_delay(settings: &Settings) -> Span {
+    Span::from_secs(settings.front.connect_timeout.as_secs_f64() + MAX_TASK_DELAY_SECONDS)
 }
 
 /// Returns the window over which a director counts its further SETUPs at a node. It is longer than the
 /// configured one, because the director counts decisions, and the node counts arrivals.
-pub fn repeats_span(settings: &Settings) -> Option<Span> {
+pub fn retry_window(settings: &Settings) -> Option<Span> {
     let repeats = settings.talk.as_ref()?.share.as_ref()?.repeats?;
-    Some(repeats.span + under_way(settings))
+    Some(repeats.span + max_send_delay(settings))
 }
 
 /// Returns the configuration of the state that this director shares with others; `None` if the settings name
 /// no others.
-pub fn terms(settings: &Settings) -> Option<Terms> {
+pub fn fleet_config(settings: &Settings) -> Option<FleetConfig> {
     let talk = settings.talk.as_ref()?;
     let headend = &settings.headend;
-    let seconds = |d: Duration| Span::from_secs(d.as_secs_f64());
-    let directors = headend.director_count;
+    let span = |d: Duration| Span::from_secs(d.as_secs_f64());
+    let director_count = headend.director_count;
     // A turn consists of two halves: the first is reserved for its director, the second is leased.
-    let mut pools = vec![Pool { kept: 1, lent: directors, always: true }];
+    let mut permit_pools = vec![PermitPool { reserved: 1, leasable: director_count, request_all: true }];
     let share = talk.share.as_ref();
     let repeats = share.and_then(|share| share.repeats.as_ref());
     if let Some(repeats) = repeats {
-        let lent = repeats.at_node.saturating_sub(repeats.kept * directors);
-        pools.push(Pool { kept: repeats.kept, lent, always: false });
+        let leasable = repeats.at_node.saturating_sub(repeats.kept * director_count);
+        permit_pools.push(PermitPool { reserved: repeats.kept, leasable, request_all: false });
     }
     // The guard interval covers the longest window over which nodes count, the time in which a decided SETUP
     // may still be sent, the interval between checks, and the margin by which permits are given up early.
-    let counted = repeats.map_or(Span::ZERO, |repeats| repeats.span).max(headend.overload_window);
-    let rest = counted + under_way(settings) + seconds(LOOK) + Span::from_secs(EARLY);
-    let never = Span::from_secs(NEVER);
-    Some(Terms {
-        me: headend.director_index,
+    let longest_window = repeats.map_or(Span::ZERO, |repeats| repeats.span).max(headend.overload_window);
+    let guard_interval = longest_window
+        + max_send_delay(settings)
+        + span(TICK_INTERVAL)
+        + Span::from_secs(RELEASE_MARGIN_SECONDS);
+    let disabled = Span::from_secs(DISABLED_INTERVAL_SECONDS);
+    Some(FleetConfig {
+        director_index: headend.director_index,
         zones: talk.zones.clone(),
-        council: talk.council,
-        lease: seconds(talk.lease),
-        drift: talk.drift,
-        rest,
-        pools,
-        fade: share.map_or(never, |share| seconds(share.fade)),
-        gossip: share.map_or(never, |share| seconds(share.gossip)),
+        max_voters: talk.council,
+        lease: span(talk.lease),
+        max_clock_drift: talk.drift,
+        guard_interval,
+        permit_pools,
+        report_ttl: share.map_or(disabled, |share| span(share.fade)),
+        gossip_interval: share.map_or(disabled, |share| span(share.gossip)),
         seed: headend.seed,
-        defect: None,
+        injected_fault: None,
     })
 }
--- a/crates/peer-transport/src/lib.rs
+++ b/crates/peer-transport/src/lib.rs
@@ -5,14 +5,14 @@
 //! replayed, of another format version or from another address than their sender's are discarded.
 
 pub mod codec;
-pub mod guard;
-mod run;
-mod teller;
-mod terms;
-mod view;
+mod config;
+mod engine_updates;
+pub mod replay;
+mod status;
+mod transport;
 
-pub use ashglade_shared::Defect;
-pub use run::{Engine, Started, run};
-pub use teller::Teller;
-pub use terms::{LOOK, REPEATS, repeats_span, terms, under_way};
-pub use view::{Seen, View};
+pub use ashglade_shared::InjectedFault;
+pub use config::{RETRY_POOL, TICK_INTERVAL, fleet_config, max_send_delay, retry_window};
+pub use engine_updates::EngineUpdates;
+pub use status::{NodeReport, PeerStatus};
+pub use transport::{EngineSink, PeerTransport, run};
--- a/crates/wirehost/src/share.rs
+++ b/crates/wirehost/src/share.rs
@@ -6,8 +6,8 @@
 use ashglade::ids::{NodeId, SessionId};
 use ashglade::interface::{AttemptOutcome, DirectorConfig};
 use ashglade::time::{Instant, Span};
-use ashglade_shared::spread::Message;
-use ashglade_shared::{Body, Member, Terms, Verdict, Word, verdict};
+use ashglade_shared::gossip::GossipMessage;
+use ashglade_shared::{FleetConfig, MessageBody, NodeHealth, PeerMessage, SharedState, health_from_outcome};
 
 const MOST: usize = 256;
 /// For how long a word is believed, and between messages, in seconds.
@@ -15,11 +15,11 @@
 const GOSSIP: f64 = 0.5;
 
 pub struct Share {
-    terms: Terms,
-    member: Member,
+    terms: FleetConfig,
+    member: SharedState,
     /// Sessions that play: their end is none of a set-up.
     started: BTreeSet<SessionId>,
-    out: VecDeque<Word>,
+    out: VecDeque<PeerMessage>,
     last: Vec<NodeId>,
     news: Option<Vec<NodeId>>,
 }
@@ -27,48 +27,50 @@
 impl Share {
     pub fn start(headend: &DirectorConfig, now: Instant) -> Share {
         let secs = Span::from_secs;
-        let terms = Terms {
-            me: headend.director_index,
+        let terms = FleetConfig {
+            director_index: headend.director_index,
             // The settings tell nobody's zone but our own.
             zones: vec![0; headend.director_count],
-            council: 1,
+            max_voters: 1,
             lease: secs(FADE),
-            drift: 0.0,
-            rest: Span::ZERO,
-            pools: Vec::new(),
-            fade: secs(FADE),
-            gossip: secs(GOSSIP),
+            max_clock_drift: 0.0,
+            guard_interval: Span::ZERO,
+            permit_pools: Vec::new(),
+            report_ttl: secs(FADE),
+            gossip_interval: secs(GOSSIP),
             seed: headend.seed,
-            defect: None,
+            injected_fault: None,
         };
-        let member = Member::start(terms.clone(), now.as_ms().max(1.0) as u64, now);
+        let member = SharedState::new(terms.clone(), now.as_ms().max(1.0) as u64, now);
         Share { terms, member, started: BTreeSet::new(), out: VecDeque::new(), last: Vec::new(), news: None }
     }
 
     pub fn started(&mut self, sess: SessionId, node: NodeId, now: Instant) {
         self.started.insert(sess);
-        self.member.saw(node.0, Verdict::Well, now);
+        self.member.record_outcome(node.0, NodeHealth::Well, now);
     }
 
     pub fn ended(&mut self, sess: SessionId, node: NodeId, how: AttemptOutcome, now: Instant) {
         if !self.started.remove(&sess)
-            && let Some(verdict) = verdict(Some(how))
+            && let Some(verdict) = health_from_outcome(Some(how))
         {
-            self.member.saw(node.0, verdict, now);
+            self.member.record_outcome(node.0, verdict, now);
         }
     }
 
     /// What is not one of ours is passed over.
     pub fn take(&mut self, author: u16, message: &[u8], now: Instant) {
-        if let Ok((message, [])) = postcard::take_from_bytes::<Message>(message) {
-            let (to, terms) = (self.terms.me as u16, self.terms.digest());
-            let word = Word { from: author, to, terms, body: Body::Spread(message) };
-            self.out.extend(self.member.take(&word, now));
+        if let Ok((message, [])) = postcard::take_from_bytes::<GossipMessage>(message) {
+            let (to, terms) = (self.terms.director_index as u16, self.terms.digest());
+            let word =
+                PeerMessage { from: author, to, config_digest: terms, body: MessageBody::Gossip(message) };
+            self.out.extend(self.member.receive(&word, now));
         }
     }
 
     pub fn look(&mut self, now: Instant) {
-        let last: Vec<NodeId> = self.member.view(now, Span::ZERO).left.into_keys().map(NodeId).collect();
+        let last: Vec<NodeId> =
+            self.member.snapshot(now, Span::ZERO).suspected_nodes.into_keys().map(NodeId).collect();
         if last != self.last {
             self.last.clone_from(&last);
             self.news = Some(last);
@@ -83,7 +85,7 @@
     pub fn say(&mut self, now: Instant, mut tell: impl FnMut(u16, &[u8])) {
         self.out.extend(self.member.tick(now));
         for word in std::mem::take(&mut self.out) {
-            if let Body::Spread(message) = word.body {
+            if let MessageBody::Gossip(message) = word.body {
                 say(word.to, &message, &mut tell);
             }
         }
@@ -91,14 +93,14 @@
 }
 
 /// In as many messages as it takes.
-fn say(to: u16, message: &Message, tell: &mut impl FnMut(u16, &[u8])) {
+fn say(to: u16, message: &GossipMessage, tell: &mut impl FnMut(u16, &[u8])) {
     let Ok(bytes) = postcard::to_allocvec(message) else { return };
     match message {
         _ if bytes.len() <= MOST => tell(to, &bytes),
-        Message::Words(words) if words.len() > 1 => {
+        GossipMessage::Reports(words) if words.len() > 1 => {
             let (one, other) = words.split_at(words.len() / 2);
-            say(to, &Message::Words(one.to_vec()), tell);
-            say(to, &Message::Words(other.to_vec()), tell);
+            say(to, &GossipMessage::Reports(one.to_vec()), tell);
+            say(to, &GossipMessage::Reports(other.to_vec()), tell);
         }
         _ => {}
     }
