--- a/crates/peer-transport/src/lib.rs
+++ b/crates/peer-transport/src/lib.rs
@@ -1,16 +1,18 @@
-//! What directors tell each other, on sockets: the shell around `ashglade_shared`, which decides what is said and what
-//! follows. Each datagram is signed, bounded and counted; what is forged, cut, told twice, of another version or from another
-//! address than its sender's is passed over.
+//! UDP transport between directors. It carries the messages of `ashglade_shared`, which decides on their
+//! content, and passes the resulting limits and suspected nodes to the engine.
+//!
+//! Each datagram is authenticated, of bounded size and numbered. Datagrams that are forged, truncated,
+//! replayed, of another format version or from another address than their sender's are discarded.
 
 pub mod codec;
-pub mod guard;
-mod run;
-mod teller;
-mod terms;
-mod view;
+mod config;
+mod engine_updates;
+pub mod replay;
+mod status;
+mod transport;
 
-pub use ashglade_shared::Defect;
-pub use run::{Engine, Started, run};
-pub use teller::Teller;
-pub use terms::{LOOK, REPEATS, repeats_span, terms, under_way};
-pub use view::{Seen, View};
+pub use ashglade_shared::InjectedFault;
+pub use config::{RETRY_POOL, TICK_INTERVAL, fleet_config, max_send_delay, retry_window};
+pub use engine_updates::EngineUpdates;
+pub use status::{NodeReport, PeerStatus};
+pub use transport::{EngineSink, PeerTransport, run};
