--- a/crates/peer-transport/src/codec.rs
+++ b/crates/peer-transport/src/codec.rs
@@ -8,6 +8,7 @@
 
 /// Format version; datagrams of any other version are discarded.
 const FORMAT_VERSION: u8 = 2;
+/// Length of the authentication code, in bytes.
 const MAC_BYTES: usize = 16;
 /// Maximum size of a datagram, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 8 * 1024;
@@ -31,7 +32,7 @@
     Version,
     /// The authentication code does not match: another secret, or altered or truncated data.
     Forged,
-    /// The payload is authentic but cannot be decoded.
+    /// Empty, or the payload is authentic but cannot be decoded.
     Malformed,
     /// It comes from another address than its sender's, or is meant for another director.
     Stranger,
--- a/crates/peer-transport/src/config.rs
+++ b/crates/peer-transport/src/config.rs
@@ -13,7 +13,7 @@
 pub const RELEASE_MARGIN_SECONDS: f64 = 0.25;
 /// Index of the permit pool for turns at nodes in slow start.
 pub const SLOW_START_POOL: usize = 0;
-/// Index of the permit pool for further SETUPs at a node.
+/// Index of the permit pool for further SETUPs at a node, which are those after the first of their session.
 pub const RETRY_POOL: usize = 1;
 /// Maximum time that tasks may wait for each other between a decision and the first byte of its SETUP, in
 /// seconds, besides the time to connect. It must be below [`RELEASE_MARGIN_SECONDS`].
@@ -40,7 +40,7 @@
 pub fn fleet_config(settings: &Settings) -> Option<FleetConfig> {
     let talk = settings.talk.as_ref()?;
     let headend = &settings.headend;
-    let span = |d: Duration| Span::from_secs(d.as_secs_f64());
+    let span = |duration: Duration| Span::from_secs(duration.as_secs_f64());
     let director_count = headend.director_count;
     // A turn consists of two halves: the first is reserved for its director, the second is leased.
     let mut permit_pools = vec![PermitPool { reserved: 1, leasable: director_count, request_all: true }];
--- a/crates/peer-transport/src/engine_updates.rs
+++ b/crates/peer-transport/src/engine_updates.rs
@@ -14,8 +14,11 @@
 pub struct EngineUpdates {
     /// Window over which further SETUPs at a node are counted; `None` if directors share no limit on them.
     retry_window: Option<Span>,
+    /// Numbers of the held slow-start turns, and when their leases end.
     slow_start_turns: (Vec<usize>, Option<LeaseExpiry>),
+    /// Limit on further SETUPs at one node, and when the leases behind it end.
     retry_limit: Option<(usize, Option<LeaseExpiry>)>,
+    /// Nodes to be tried last.
     suspected_nodes: Vec<NodeId>,
 }
 
@@ -91,8 +94,8 @@
     Some(LeaseExpiry { at: held.valid_until? - margin, retained: pool?.reserved })
 }
 
-/// Returns whether the engine needs an update: the permits changed, or a lease was renewed by more than one
-/// tick.
+/// Returns whether the engine needs an update: the permits changed, the first lease was taken or the last one
+/// ended, or the earliest end moved by more than [`TICK_INTERVAL`].
 fn is_changed(
     old_numbers: &[usize],
     old_expiry: &Option<LeaseExpiry>,
--- a/crates/peer-transport/src/replay.rs
+++ b/crates/peer-transport/src/replay.rs
@@ -9,7 +9,9 @@
 /// What was received from one sender.
 #[derive(Clone, Copy, Debug)]
 struct SenderState {
+    /// Number of the current process.
     process: u64,
+    /// Highest sequence number received from it.
     highest: u64,
     /// Bit `k` is set if `highest - k` was received.
     window: u64,
@@ -27,6 +29,7 @@
 }
 
 impl ReplayFilter {
+    /// Accepts any first datagram of each of `director_count` senders.
     pub fn new(director_count: usize, silence_timeout: Span) -> ReplayFilter {
         ReplayFilter { senders: vec![None; director_count], silence_timeout }
     }
--- a/crates/peer-transport/src/status.rs
+++ b/crates/peer-transport/src/status.rs
@@ -32,8 +32,8 @@
     /// Numbers of the held slow-start turns.
     #[serde(rename = "turns")]
     pub slow_start_turns: Vec<usize>,
-    /// Limit on further SETUPs at one node within the window: this director's share, and the limit of the fleet;
-    /// `None` if directors share no such limit.
+    /// Limit on further SETUPs at one node within the window: this director's share, and the limit of the
+    /// fleet; `None` if directors share no such limit.
     #[serde(rename = "repeats")]
     pub retry_limit: Option<(usize, usize)>,
     /// Nodes to be tried last, by id in hexadecimal, with the directors that reported them.
--- a/crates/peer-transport/src/transport.rs
+++ b/crates/peer-transport/src/transport.rs
@@ -20,6 +20,7 @@
 
 /// Receives the inputs that the transport produces for the engine.
 pub trait EngineSink: Send + Sync + 'static {
+    /// Delivers one input to the engine.
     fn send_input(&self, input: Input) -> impl Future<Output = ()> + Send;
 }
 
@@ -68,12 +69,15 @@
     }
 }
 
+/// State of the running transport.
 struct TransportTask<E> {
     engine: E,
     transport: PeerTransport,
     state: SharedState,
     replay_filter: ReplayFilter,
+    /// Number of this process in datagrams.
     process: u64,
+    /// Sequence number of the last datagram.
     sequence: u64,
     /// Token bucket of the rate limit: bytes that may be sent now, and the time of the last refill.
     send_allowance: f64,
@@ -129,7 +133,7 @@
                 Vec::new()
             }
         };
-        // The engine stops using permits that are released or expired before any release is sent.
+        // Before any release is sent, the engine learns which permits it may no longer use.
         task.update_engine().await;
         task.send(messages);
         task.write_status();
@@ -137,6 +141,7 @@
 }
 
 impl<E: EngineSink> TransportTask<E> {
+    /// Processes a datagram. Returns the replies.
     fn receive(&mut self, bytes: &[u8], from: SocketAddr) -> Vec<PeerMessage> {
         let now = self.transport.clock.now();
         let decoded = self.transport.codec.decode(bytes).and_then(|datagram| {
@@ -163,13 +168,14 @@
                 messages
             }
             Err(reason) => {
-                debug!(%from, why = ?reason, "a datagram is passed over");
+                debug!(%from, why = ?reason, "discarded a datagram");
                 *self.status.discarded.entry(format!("{reason:?}")).or_default() += 1;
                 Vec::new()
             }
         }
     }
 
+    /// Sends messages as far as the rate limit allows, and drops the others.
     fn send(&mut self, messages: Vec<PeerMessage>) {
         let now = self.transport.clock.now();
         let limit = self.transport.max_bytes_per_second;
@@ -196,19 +202,19 @@
         }
     }
 
-    /// Passes changes of permits and suspected nodes to the engine, and updates the status.
+    /// Passes changes of permits and suspected nodes to the engine, and updates the status accordingly.
     async fn update_engine(&mut self) {
         let now = self.transport.clock.now();
         let (snapshot, inputs) = self.engine_updates.poll(&self.state, &self.transport.config, now);
         for input in inputs {
             if matches!(input, Input::SuspectedNodes { .. }) {
-                info!(nodes = ?snapshot.suspected_nodes, "nodes that are tried last, by who finds them failing");
+                info!(nodes = ?snapshot.suspected_nodes, "suspected nodes and the directors that reported them");
             }
             self.engine.send_input(input).await;
         }
         let reachable: Vec<usize> = snapshot.reachable.into_iter().collect();
         if reachable != self.status.reachable_directors {
-            info!(directors = ?reachable, "directors that are heard of");
+            info!(directors = ?reachable, "reachable directors changed");
             self.status.reachable_directors = reachable;
         }
         let pool_size =
@@ -248,7 +254,7 @@
         let temporary = path.with_extension("new");
         let written = std::fs::write(&temporary, text).and_then(|()| std::fs::rename(&temporary, path));
         if let Err(error) = written {
-            debug!(path = %path.display(), %error, "the view of what is shared can't be written");
+            debug!(path = %path.display(), %error, "cannot write the status file");
         }
     }
 }
--- a/crates/shared/src/gossip.rs
+++ b/crates/shared/src/gossip.rs
@@ -45,6 +45,7 @@
     director_count: usize,
     interval: Span,
     next_round_at: Instant,
+    /// Number of rounds so far.
     rounds: u64,
     /// Number of transmissions so far of the reports that are still being pushed, by source and node.
     transmissions: BTreeMap<(u16, u64), u32>,
@@ -78,6 +79,7 @@
         self.transmissions.insert((report.source, report.node), 0);
     }
 
+    /// Returns the index of a random director other than this one.
     fn random_peer(&mut self) -> usize {
         let index = self.random.rand_range(0..(self.director_count as u64 - 1)) as usize;
         if index >= self.director_index { index + 1 } else { index }
@@ -133,6 +135,7 @@
         reports
     }
 
+    /// Returns a digest of the stored reports of the sources from `first_source` on.
     fn digest(
         &self,
         store: &HealthStore,
--- a/crates/shared/src/health.rs
+++ b/crates/shared/src/health.rs
@@ -74,6 +74,7 @@
     reports: BTreeMap<u64, BTreeMap<u16, StoredReport>>,
     /// Number of consecutive failures of own SETUPs, by node.
     consecutive_failures: BTreeMap<u64, u16>,
+    /// Version of the last report issued by this director.
     last_version: u64,
 }
 
@@ -119,12 +120,14 @@
         (!reported_recently).then(|| self.issue(node, health, failures, now))
     }
 
+    /// Drops the counts of the nodes with the lowest ids beyond [`MAX_NODES`].
     fn limit_failure_counts(&mut self) {
         while self.consecutive_failures.len() > MAX_NODES {
             self.consecutive_failures.pop_first();
         }
     }
 
+    /// Creates an own report with the next version, and stores it.
     fn issue(&mut self, node: u64, health: NodeHealth, setups: u16, now: Instant) -> HealthReport {
         self.last_version += 1;
         let report = HealthReport {
@@ -264,6 +267,7 @@
     /// Returns the sources that report failures alone at more nodes than they share with other sources. Their
     /// own link, clock or counting is considered faulty.
     fn faulty_sources(&self, director_count: usize, now: Instant) -> BTreeSet<u16> {
+        // By source: the number of nodes that it alone reports, and of those that others report as well.
         let mut counts: BTreeMap<u16, (usize, usize)> = BTreeMap::new();
         for reports in self.reports.values() {
             let unhealthy_sources = reports.iter().filter(|(_, report)| {
--- a/crates/shared/src/permits.rs
+++ b/crates/shared/src/permits.rs
@@ -41,7 +41,9 @@
 /// A permit that can be leased, identified by its pool and its number within the pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Permit {
+    /// Index of the pool in [`FleetConfig::permit_pools`].
     pub pool: u8,
+    /// Number among the leasable permits of the pool, from 0.
     pub number: u32,
 }
 
@@ -77,8 +79,10 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct GrantRecord {
     holder: usize,
-    /// Process of the holder; after a restart a director doesn't know what it held.
+    /// Process of the holder; after a restart a director doesn't know what it held. 0 once the permit is
+    /// released.
     process_id: u64,
+    /// Request round of the holder.
     round: u64,
     /// Time before which this voter grants the permit to nobody else.
     reserved_until: Instant,
@@ -103,11 +107,13 @@
     process_id: u64,
     /// Time before which this voter grants nothing, as a previous process may have granted any permit.
     may_vote_from: Instant,
+    /// As voter: the last grant of each permit.
     grants: BTreeMap<Permit, GrantRecord>,
-    /// By owner: time and round of its last request, and the permits of its own that it requested.
+    /// As voter, by owner: time and round of its last request, and the permits of its own that it requested.
     owner_requests: BTreeMap<usize, (Instant, u64, BTreeSet<Permit>)>,
-    /// By owner: the directors that queried its free permits, and when.
+    /// As voter, by owner: the directors that queried its free permits, and when.
     queriers: BTreeMap<usize, BTreeMap<usize, Instant>>,
+    /// As holder: the permits that are requested or held.
     requested: BTreeMap<Permit, RequestedPermit>,
     /// Released permits with the round up to which grants are ignored.
     ignored_rounds: BTreeMap<Permit, u64>,
@@ -117,6 +123,7 @@
     free: BTreeSet<Permit>,
     /// The last request rounds, each with the time of its request.
     recent_rounds: Vec<(u64, Instant)>,
+    /// Number of the last request round.
     round: u64,
     next_request_at: Instant,
     /// By pool: number of permits needed beyond the reserved ones.
@@ -193,6 +200,7 @@
         grant_ends.len().checked_sub(majority).map(|index| grant_ends[index])
     }
 
+    /// Returns the director that owns the permit.
     fn owner(&self, permit: &Permit) -> usize {
         permit.number as usize % self.config.director_count()
     }
@@ -367,6 +375,7 @@
         }
     }
 
+    /// Returns whether the permit's pool and number are in range.
     fn exists(&self, permit: &Permit) -> bool {
         let pool = self.config.permit_pools.get(usize::from(permit.pool));
         pool.is_some_and(|pool| (permit.number as usize) < pool.leasable)
@@ -423,6 +432,7 @@
         (granted, free)
     }
 
+    /// Returns whether this voter may grant the permit to this process of `holder`.
     fn may_grant(&self, permit: &Permit, holder: usize, process_id: u64, now: Instant) -> bool {
         if !self.exists(permit) {
             return false;
@@ -452,9 +462,9 @@
             uniform_hash(&[u64::from(permit.pool), u64::from(permit.number), director as u64])
         };
         let queriers = self.queriers.get(&owner);
-        let recent =
+        let is_recent =
             |&(_, at): &(&usize, &Instant)| now - *at < self.config.lease * (1.0 - 1.0 / REQUESTS_PER_LEASE);
-        queriers.is_none_or(|all| all.iter().filter(recent).all(|(&other, _)| rank(other) <= rank(holder)))
+        queriers.is_none_or(|all| all.iter().filter(is_recent).all(|(&other, _)| rank(other) <= rank(holder)))
     }
 
     /// Records a release: the permits may be granted again after the guard interval.
@@ -509,6 +519,7 @@
     }
 }
 
+/// Returns the guard interval in effect, which is zero under the fault that leaves it out.
 fn guard_interval(config: &FleetConfig) -> Span {
     if config.injected_fault == Some(InjectedFault::NoGuardInterval) {
         Span::ZERO
--- a/crates/shared/src/shared_state.rs
+++ b/crates/shared/src/shared_state.rs
@@ -46,9 +46,11 @@
 pub struct SharedState {
     config: FleetConfig,
     config_digest: u64,
+    /// Lease protocol of the permits.
     pub permits: PermitLeases,
     health: HealthStore,
     gossip: Gossip,
+    /// Time of the last message from each director.
     last_received: BTreeMap<usize, Instant>,
     /// Times of own failed SETUPs within the duration of a lease; each may need a permit for a further
     /// attempt.
@@ -61,7 +63,8 @@
 const MAX_RECENT_FAILURES: usize = 1024;
 
 impl SharedState {
-    /// Starts a director's state. `process` must exceed that of every previous process of this director.
+    /// Starts a director's state. `process` is the number of its process, which must exceed that of every
+    /// previous one.
     pub fn new(config: FleetConfig, process: u64, now: Instant) -> SharedState {
         let last_version = process << 20;
         SharedState {
@@ -115,6 +118,7 @@
         self.address(messages)
     }
 
+    /// Adds sender, recipient and configuration digest to messages.
     fn address(&self, messages: Vec<(usize, MessageBody)>) -> Vec<PeerMessage> {
         let (from, config_digest) = (self.config.director_index as u16, self.config_digest);
         messages
@@ -139,12 +143,12 @@
         self.last_received.insert(from, now);
         let messages = match &message.body {
             MessageBody::Permits(message) => {
-                let answer = self.permits.receive(from, message, now);
-                answer.into_iter().map(|(to, message)| (to, MessageBody::Permits(message))).collect()
+                let reply = self.permits.receive(from, message, now);
+                reply.into_iter().map(|(to, message)| (to, MessageBody::Permits(message))).collect()
             }
             MessageBody::Gossip(message) => {
-                let answers = self.gossip.receive(from, message, &mut self.health, now);
-                answers.into_iter().map(|(to, message)| (to, MessageBody::Gossip(message))).collect()
+                let replies = self.gossip.receive(from, message, &mut self.health, now);
+                replies.into_iter().map(|(to, message)| (to, MessageBody::Gossip(message))).collect()
             }
         };
         self.address(messages)
@@ -155,9 +159,13 @@
     pub fn snapshot(&self, now: Instant, margin: Span) -> Snapshot {
         let held =
             (0..self.config.permit_pools.len()).map(|pool| self.permits.held(pool, now + margin)).collect();
-        let recent = |at: &Instant| now - *at < self.config.lease;
-        let mut reachable: BTreeSet<usize> =
-            self.last_received.iter().filter(|(_, at)| recent(at)).map(|(&director, _)| director).collect();
+        let is_recent = |at: &Instant| now - *at < self.config.lease;
+        let mut reachable: BTreeSet<usize> = self
+            .last_received
+            .iter()
+            .filter(|(_, at)| is_recent(at))
+            .map(|(&director, _)| director)
+            .collect();
         reachable.insert(self.config.director_index);
         Snapshot { held, suspected_nodes: self.health.suspected_nodes(&self.config.zones, now), reachable }
     }
--- a/crates/shared/tests/interleavings.rs
+++ b/crates/shared/tests/interleavings.rs
@@ -21,21 +21,25 @@
 /// Event of a step.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Event {
+    /// Messages arrive at once.
     Normal,
     /// Everything arrives a step late.
     Late,
     /// Only replies arrive a step late.
     LateReplies,
+    /// Messages arrive twice.
     Duplicate,
-    /// The director neither sends nor receives, or what it sends is lost.
+    /// The director neither sends nor receives.
     Isolate(usize),
+    /// What the director sends is lost.
     LoseSent(usize),
     /// The director pauses, and continues after the step with its old state.
     Pause(usize),
     /// The director restarts.
     Restart(usize),
-    /// The director needs all permits, or none.
+    /// The director needs all permits.
     NeedAll(usize),
+    /// The director needs no leasable permits.
     NeedNone(usize),
 }
 
@@ -44,7 +48,7 @@
     Event::Late,
     Event::LateReplies,
     Event::Duplicate,
-    // Directors 0 and 2 do the same, so it is enough that director 0 is isolated, mute or paused.
+    // Directors 0 and 2 do the same, so it is enough to isolate, mute or pause director 0.
     Event::Isolate(0),
     Event::LoseSent(0),
     Event::Pause(0),
@@ -57,7 +61,7 @@
 #[derive(Clone)]
 struct Run {
     simulation: Simulation,
-    /// Messages that arrive in the next step.
+    /// Messages that arrive in the next step: sender, recipient, content.
     late: Vec<(usize, usize, PermitMessage)>,
 }
 
--- a/crates/shared/tests/random_simulations.rs
+++ b/crates/shared/tests/random_simulations.rs
@@ -15,11 +15,13 @@
 struct Run {
     simulation: Simulation,
     random: Rand64,
-    /// Messages in flight: arrival time, sender, recipient, content.
+    /// Messages in flight: arrival time in milliseconds, sender, recipient, content.
     in_flight: Vec<(f64, usize, usize, PermitMessage)>,
+    /// Time until which each director is paused, in milliseconds.
     paused_until: [f64; DIRECTORS],
-    /// Time until which messages from the first to the second director are lost.
+    /// Time until which messages from the first to the second director are lost, in milliseconds.
     lost_until: [[f64; DIRECTORS]; DIRECTORS],
+    /// Fraction of all messages that are lost.
     loss_fraction: f64,
 }
 
--- a/crates/shared/tests/simulation/mod.rs
+++ b/crates/shared/tests/simulation/mod.rs
@@ -38,12 +38,15 @@
     pub directors: Vec<PermitLeases>,
     /// Rate of each director's clock against true time.
     pub clock_rates: Vec<f64>,
+    /// True time, in milliseconds.
     pub now_ms: f64,
     pub zone_count: u8,
     pub injected_fault: Option<InjectedFault>,
-    /// By permit: the director that last held it, and the true time in milliseconds when it was last seen to.
+    /// By permit: the director that last held it, and when it was last seen to, in true time in milliseconds.
     last_use: BTreeMap<usize, (usize, f64)>,
-    pub process_count: u64,
+    /// Number of the last restarted process.
+    pub last_process: u64,
+    /// Maximum number of permits held by all directors together at any check.
     pub max_held: usize,
 }
 
@@ -58,7 +61,7 @@
             )
         };
         let directors = (0..director_count).map(start).collect();
-        let (now_ms, last_use, process_count, max_held) = (0.0, BTreeMap::new(), 100, 0);
+        let (now_ms, last_use, last_process, max_held) = (0.0, BTreeMap::new(), 100, 0);
         Simulation {
             directors,
             clock_rates,
@@ -66,7 +69,7 @@
             zone_count,
             injected_fault,
             last_use,
-            process_count,
+            last_process,
             max_held,
         }
     }
@@ -76,9 +79,9 @@
     }
 
     pub fn restart(&mut self, director: usize) {
-        self.process_count += 1;
+        self.last_process += 1;
         let config = config(director, self.directors.len(), self.zone_count, self.injected_fault);
-        self.directors[director] = PermitLeases::new(config, self.process_count, self.local_time(director));
+        self.directors[director] = PermitLeases::new(config, self.last_process, self.local_time(director));
         self.directors[director].set_needed(0, 1);
     }
 
