--- a/crates/ledger/src/journal.rs
+++ b/crates/ledger/src/journal.rs
@@ -1,5 +1,6 @@
-//! The ledger on paper: a line for each session that is held, and one when it is struck out. A director that starts
-//! reads what the one before it left open. A last line that was cut short, as by a kill, counts as not written.
+//! Journal format of the ledger: JSON lines, one when a session becomes held and one when it is removed. A director that
+//! starts reads the sessions that its predecessor left open. An incomplete last line, as a killed process leaves, is
+//! ignored.
 
 use std::collections::BTreeMap;
 
@@ -8,6 +9,7 @@
 
 use crate::HeldSession;
 
+/// One line of the journal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Entry {
@@ -16,27 +18,29 @@
     Removed(SessionId),
 }
 
+/// A line of the journal that can't be parsed. Lines count from 1.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-#[error("line {line}: {what}")]
+#[error("line {line}: {reason}")]
 pub struct JournalError {
     pub line: usize,
-    pub what: String,
+    pub reason: String,
 }
 
-/// What is still open at the end of these pages.
+/// Returns the sessions that are still held at the end of a journal.
 pub fn open_sessions(text: &str) -> Result<BTreeMap<SessionId, HeldSession>, JournalError> {
     let mut open = BTreeMap::new();
     for (i, line) in text.split_inclusive('\n').enumerate() {
         match serde_json::from_str(line) {
-            Ok(Entry::Held(sess, held)) => drop(open.insert(sess, held)),
-            Ok(Entry::Removed(sess)) => drop(open.remove(&sess)),
+            Ok(Entry::Held(session, held)) => drop(open.insert(session, held)),
+            Ok(Entry::Removed(session)) => drop(open.remove(&session)),
             Err(_) if !line.ends_with('\n') => break,
-            Err(e) => return Err(JournalError { line: i + 1, what: e.to_string() }),
+            Err(e) => return Err(JournalError { line: i + 1, reason: e.to_string() }),
         }
     }
     Ok(open)
 }
 
-pub fn encode(line: &Entry) -> String {
-    serde_json::to_string(line).map(|text| text + "\n").unwrap_or_default()
+/// Returns the entry as a line of the journal, including the line feed.
+pub fn encode(entry: &Entry) -> String {
+    serde_json::to_string(entry).map(|text| text + "\n").unwrap_or_default()
 }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,18 +1,19 @@
-//! Which sessions a director holds at nodes, and which tear-downs it owes. A session that a node set up and nobody
-//! holds any longer takes a place and a part of the link until the node forgets it, a minute later by RFC 2326 (12.37).
-//! So each session that was set up is written down until the node is known to have ended it, and what was lost on
-//! the way, with a connection or with the director itself, is torn down later.
+//! Ledger of the sessions that a director holds at nodes and of the tear-downs that are pending. A session that a node has
+//! set up and that no director uses takes a stream and link capacity until the node's session timeout, a minute by
+//! default (RFC 2326, 12.37). Therefore each session is recorded until the node is known to have ended it. A session
+//! lost with its connection or with the director itself is torn down later.
 //!
-//! | a session | is |
+//! | session | state |
 //! | --- | --- |
 //! | set up at a node | held |
-//! | torn down, and the node said so | struck out |
-//! | whose connection went, or whose TEARDOWN had no answer | owed: torn down on a connection of its own, tried again with growing pauses |
-//! | held when the director ended | owed by the next one that reads the ledger |
-//! | at a node that has started since, or that has forgotten it by its own time-out | struck out |
+//! | torn down, confirmed by the node | removed |
+//! | connection lost, or TEARDOWN not answered | pending: torn down on a new connection, retried with backoff |
+//! | held when the director stopped | pending at the next director that reads the journal |
+//! | node restarted since, or its session timeout passed | removed |
 //!
-//! Free of I/O, clock and threads. Sessions owed at one node share their pauses, which grow, in part by chance from a
-//! seed: fifty sessions lost with one node cost it a call at a time while it is away. All of it is bounded.
+//! The ledger does no I/O, reads no clock and starts no thread. The pending tear-downs of a node share one exponential
+//! backoff with seeded jitter, so a node that is down gets one attempt at a time even if fifty sessions were lost with it.
+//! The number of sessions is bounded.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -23,159 +24,180 @@
 
 pub mod journal;
 
-/// A session at a node, as far as it takes to end it there.
+/// A session at a node, with what is needed to tear it down.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeldSession {
     pub node: NodeId,
     pub address: SocketAddr,
     pub url: String,
-    /// The node's name for the session.
+    /// The node's identifier of the session (RTSP `Session` header).
     pub session: String,
-    /// The node forgets it so long after the last word.
+    /// The time after the last request at which the node drops the session by itself.
     pub timeout: Span,
 }
 
-/// How tear-downs that are owed are tried.
+/// How pending tear-downs are retried.
 #[derive(Clone, Copy, Debug)]
 pub struct TeardownPolicy {
-    /// Pause before the second try; each further one is twice as long,
-    pub first: Span,
-    /// up to this.
-    pub most: Span,
-    /// Out at one node at once.
-    pub at_once: usize,
-    /// Sessions written down at most; beyond that the oldest debts are let go, and counted.
-    pub bound: usize,
+    /// Backoff before the second attempt. It doubles with each failure.
+    pub initial_backoff: Span,
+    pub max_backoff: Span,
+    /// Maximum number of tear-downs in flight to one node.
+    pub max_in_flight_per_node: usize,
+    /// Maximum number of sessions in the ledger. Beyond it the pending tear-downs with the lowest session ids are
+    /// dropped and counted.
+    pub max_sessions: usize,
 }
 
 impl Default for TeardownPolicy {
     fn default() -> TeardownPolicy {
-        TeardownPolicy { first: Span::from_ms(250.0), most: Span::from_secs(8.0), at_once: 2, bound: 100_000 }
+        TeardownPolicy {
+            initial_backoff: Span::from_ms(250.0),
+            max_backoff: Span::from_secs(8.0),
+            max_in_flight_per_node: 2,
+            max_sessions: 100_000,
+        }
     }
 }
 
-/// What came of a try.
+/// Result of an attempt to tear a session down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TeardownOutcome {
-    /// The node ended it, or didn't know it.
+    /// The node ended the session or doesn't know it.
     Confirmed,
-    /// No connection, no answer, or another one.
+    /// No connection, no response, or a response with another status.
     Failed,
 }
 
-/// A tear-down to be tried now.
+/// A tear-down to attempt now.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Teardown {
     pub session: SessionId,
     pub held: HeldSession,
 }
 
+/// Counters since the ledger was created.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Tally {
+pub struct LedgerTally {
+    /// Sessions recorded as held.
     pub held: u64,
-    pub owed: u64,
-    pub calls: u64,
-    pub ended: u64,
-    /// Struck out because the node must have forgotten them, or has started since.
-    pub forgotten: u64,
-    /// Let go because there were too many.
-    pub let_go: u64,
+    /// Tear-downs that became pending.
+    #[serde(rename = "owed")]
+    pub scheduled: u64,
+    /// Attempts to tear a session down.
+    #[serde(rename = "calls")]
+    pub attempts: u64,
+    /// Attempts that the node confirmed.
+    #[serde(rename = "ended")]
+    pub confirmed: u64,
+    /// Sessions removed because their node must have dropped them or has restarted.
+    #[serde(rename = "forgotten")]
+    pub expired: u64,
+    /// Tear-downs dropped because of the session limit.
+    #[serde(rename = "let_go")]
+    pub dropped: u64,
 }
 
 #[derive(Debug)]
-struct Debt {
+struct PendingTeardown {
     held: HeldSession,
     since: Instant,
-    out: bool,
+    in_flight: bool,
 }
 
-/// What is owed at one node. Its debts share their pauses: a node that is away is asked for one of them at a time.
+/// Pending tear-downs of one node. They share the backoff, so a node that is down gets one attempt at a time.
 #[derive(Debug)]
-struct Queue {
+struct NodeQueue {
     waiting: VecDeque<SessionId>,
-    out: usize,
-    /// The next pause; more than the first while the node is away.
-    pause: Span,
-    away: bool,
+    /// Number of attempts in flight.
+    in_flight: usize,
+    /// The backoff after the next failure.
+    backoff: Span,
+    /// The last attempt failed.
+    failing: bool,
+    /// When the next attempt is due.
     due: Option<Instant>,
 }
 
+/// Held sessions and pending tear-downs of one director.
 #[derive(Debug)]
 pub struct Ledger {
-    terms: TeardownPolicy,
+    policy: TeardownPolicy,
     random: oorandom::Rand64,
     held: BTreeMap<SessionId, HeldSession>,
-    debts: BTreeMap<SessionId, Debt>,
-    queues: BTreeMap<NodeId, Queue>,
-    /// When each queue that waits is due.
+    pending: BTreeMap<SessionId, PendingTeardown>,
+    queues: BTreeMap<NodeId, NodeQueue>,
+    /// When each waiting queue is due.
     due: BTreeSet<(Instant, NodeId)>,
-    pub tally: Tally,
+    pub tally: LedgerTally,
 }
 
 impl Ledger {
-    pub fn new(terms: TeardownPolicy, seed: u64) -> Ledger {
+    /// Creates an empty ledger. `seed` seeds the jitter.
+    pub fn new(policy: TeardownPolicy, seed: u64) -> Ledger {
         Ledger {
-            terms,
+            policy,
             random: oorandom::Rand64::new(seed.into()),
             held: BTreeMap::new(),
-            debts: BTreeMap::new(),
+            pending: BTreeMap::new(),
             queues: BTreeMap::new(),
             due: BTreeSet::new(),
-            tally: Tally::default(),
+            tally: LedgerTally::default(),
         }
     }
 
-    /// Sessions held, and tear-downs owed.
+    /// Returns the number of held sessions and the number of pending tear-downs.
     pub fn len(&self) -> (usize, usize) {
-        (self.held.len(), self.debts.len())
+        (self.held.len(), self.pending.len())
     }
 
     pub fn is_empty(&self) -> bool {
         self.len() == (0, 0)
     }
 
-    /// A node set a session up.
-    pub fn session_held(&mut self, sess: SessionId, held: HeldSession) {
+    /// Records a session that a node has set up.
+    pub fn session_held(&mut self, session: SessionId, held: HeldSession) {
         self.tally.held += 1;
-        self.held.insert(sess, held);
-        self.keep_bound();
+        self.held.insert(session, held);
+        self.enforce_limit();
     }
 
-    /// The node said that it ended the session.
-    pub fn session_ended(&mut self, sess: SessionId) {
-        self.held.remove(&sess);
+    /// Removes a session whose end the node has confirmed.
+    pub fn session_ended(&mut self, session: SessionId) {
+        self.held.remove(&session);
     }
 
-    /// The session is over here, and the node has not said that it is there.
-    pub fn schedule_teardown(&mut self, sess: SessionId, now: Instant) {
-        if let Some(held) = self.held.remove(&sess) {
-            self.debt(sess, held, now);
+    /// Schedules the tear-down of a held session that ended here without confirmation by the node.
+    pub fn schedule_teardown(&mut self, session: SessionId, now: Instant) {
+        if let Some(held) = self.held.remove(&session) {
+            self.schedule(session, held, now);
         }
     }
 
-    /// What an earlier director held when it ended, as its pages tell.
-    pub fn schedule_inherited(&mut self, sess: SessionId, held: HeldSession, now: Instant) {
-        self.debt(sess, held, now);
+    /// Schedules the tear-down of a session that an earlier director held when it stopped, as read from its journal.
+    pub fn schedule_inherited(&mut self, session: SessionId, held: HeldSession, now: Instant) {
+        self.schedule(session, held, now);
     }
 
-    fn debt(&mut self, sess: SessionId, held: HeldSession, now: Instant) {
-        self.tally.owed += 1;
+    fn schedule(&mut self, session: SessionId, held: HeldSession, now: Instant) {
+        self.tally.scheduled += 1;
         let node = held.node;
-        self.debts.insert(sess, Debt { held, since: now, out: false });
-        // The first try is soon, but directors that lost the same node don't all come in one moment.
-        let at = now + self.terms.first * self.random.rand_float();
-        let pause = self.terms.first;
-        let empty = || Queue { waiting: VecDeque::new(), out: 0, pause, away: false, due: None };
+        self.pending.insert(session, PendingTeardown { held, since: now, in_flight: false });
+        // The first attempt is made soon, with jitter so that directors that lost the same node don't come at once.
+        let at = now + self.policy.initial_backoff * self.random.rand_float();
+        let backoff = self.policy.initial_backoff;
+        let empty =
+            || NodeQueue { waiting: VecDeque::new(), in_flight: 0, backoff, failing: false, due: None };
         let queue = self.queues.entry(node).or_insert_with(empty);
-        queue.waiting.push_back(sess);
-        if queue.due.is_none() && queue.out == 0 {
-            self.wait(node, at);
+        queue.waiting.push_back(session);
+        if queue.due.is_none() && queue.in_flight == 0 {
+            self.set_due(node, at);
         }
-        self.keep_bound();
+        self.enforce_limit();
     }
 
-    /// The queue is looked at again at this time.
-    fn wait(&mut self, node: NodeId, at: Instant) {
+    /// Makes the node's queue due at `at`.
+    fn set_due(&mut self, node: NodeId, at: Instant) {
         let Some(queue) = self.queues.get_mut(&node) else { return };
         if let Some(before) = queue.due.replace(at) {
             self.due.remove(&(before, node));
@@ -183,96 +205,105 @@
         self.due.insert((at, node));
     }
 
-    fn keep_bound(&mut self) {
-        while self.held.len() + self.debts.len() > self.terms.bound {
-            let Some(oldest) = self.debts.iter().find(|(_, debt)| !debt.out).map(|(&sess, _)| sess) else {
+    /// Drops pending tear-downs until the session limit is met. Those in flight are kept.
+    fn enforce_limit(&mut self) {
+        while self.held.len() + self.pending.len() > self.policy.max_sessions {
+            let Some(oldest) =
+                self.pending.iter().find(|(_, pending)| !pending.in_flight).map(|(&session, _)| session)
+            else {
                 return;
             };
-            self.strike(oldest);
-            self.tally.let_go += 1;
+            self.remove_pending(oldest);
+            self.tally.dropped += 1;
         }
     }
 
-    fn strike(&mut self, sess: SessionId) {
-        if let Some(debt) = self.debts.remove(&sess)
-            && let Some(queue) = self.queues.get_mut(&debt.held.node)
+    fn remove_pending(&mut self, session: SessionId) {
+        if let Some(pending) = self.pending.remove(&session)
+            && let Some(queue) = self.queues.get_mut(&pending.held.node)
         {
-            queue.waiting.retain(|&other| other != sess);
+            queue.waiting.retain(|&other| other != session);
         }
     }
 
+    /// Returns when [`Ledger::due_teardowns`] has to be called next.
     pub fn next_deadline(&self) -> Option<Instant> {
         self.due.first().map(|&(at, _)| at)
     }
 
-    /// What is to be tried now. What a node has forgotten by itself is struck out; its sessions are returned so that
-    /// pages can be.
+    /// Returns the tear-downs to attempt now, and the sessions removed because their node has dropped them by its own
+    /// timeout, so that the caller can remove them from the journal.
     pub fn due_teardowns(&mut self, now: Instant) -> (Vec<Teardown>, Vec<SessionId>) {
-        let (mut calls, mut struck) = (Vec::new(), Vec::new());
+        let (mut teardowns, mut expired) = (Vec::new(), Vec::new());
         while let Some(&(at, node)) = self.due.first().filter(|(at, _)| *at <= now) {
             self.due.remove(&(at, node));
             let Some(queue) = self.queues.get_mut(&node) else { continue };
             queue.due = None;
-            let at_once = if queue.away { 1 } else { self.terms.at_once };
-            while queue.out < at_once
-                && let Some(sess) = queue.waiting.pop_front()
+            let max_in_flight = if queue.failing { 1 } else { self.policy.max_in_flight_per_node };
+            while queue.in_flight < max_in_flight
+                && let Some(session) = queue.waiting.pop_front()
             {
-                let Some(debt) = self.debts.get_mut(&sess) else { continue };
-                if now - debt.since > debt.held.timeout {
-                    self.debts.remove(&sess);
-                    self.tally.forgotten += 1;
-                    struck.push(sess);
+                let Some(pending) = self.pending.get_mut(&session) else { continue };
+                if now - pending.since > pending.held.timeout {
+                    self.pending.remove(&session);
+                    self.tally.expired += 1;
+                    expired.push(session);
                     continue;
                 }
-                queue.out += 1;
-                debt.out = true;
-                self.tally.calls += 1;
-                calls.push(Teardown { session: sess, held: debt.held.clone() });
+                queue.in_flight += 1;
+                pending.in_flight = true;
+                self.tally.attempts += 1;
+                teardowns.push(Teardown { session, held: pending.held.clone() });
             }
-            if queue.out == 0 && queue.waiting.is_empty() {
+            if queue.in_flight == 0 && queue.waiting.is_empty() {
                 self.queues.remove(&node);
             }
         }
-        (calls, struck)
+        (teardowns, expired)
     }
 
-    /// How a try ended; true if the session is struck out.
-    pub fn teardown_finished(&mut self, sess: SessionId, outcome: TeardownOutcome, now: Instant) -> bool {
-        let Some(debt) = self.debts.get_mut(&sess).filter(|debt| debt.out) else { return false };
-        debt.out = false;
-        let node = debt.held.node;
-        let ended = outcome == TeardownOutcome::Confirmed;
-        if ended {
-            self.debts.remove(&sess);
-            self.tally.ended += 1;
+    /// Records the outcome of an attempt. Returns true if the session is removed.
+    pub fn teardown_finished(&mut self, session: SessionId, outcome: TeardownOutcome, now: Instant) -> bool {
+        let Some(pending) = self.pending.get_mut(&session).filter(|pending| pending.in_flight) else {
+            return false;
+        };
+        pending.in_flight = false;
+        let node = pending.held.node;
+        let confirmed = outcome == TeardownOutcome::Confirmed;
+        if confirmed {
+            self.pending.remove(&session);
+            self.tally.confirmed += 1;
         }
-        let Some(queue) = self.queues.get_mut(&node) else { return ended };
-        queue.out = queue.out.saturating_sub(1);
-        let at = if ended {
-            (queue.away, queue.pause) = (false, self.terms.first);
+        let Some(queue) = self.queues.get_mut(&node) else { return confirmed };
+        queue.in_flight = queue.in_flight.saturating_sub(1);
+        let at = if confirmed {
+            (queue.failing, queue.backoff) = (false, self.policy.initial_backoff);
             now
         } else {
-            queue.away = true;
-            queue.waiting.push_back(sess);
-            // Half of the pause is sure, half by chance: directors that failed together part.
-            let at = now + queue.pause * (0.5 + self.random.rand_float());
-            queue.pause = (queue.pause * 2.0).min(self.terms.most);
+            queue.failing = true;
+            queue.waiting.push_back(session);
+            // Jitter of half a backoff either way, so that directors that failed together don't retry together.
+            let at = now + queue.backoff * (0.5 + self.random.rand_float());
+            queue.backoff = (queue.backoff * 2.0).min(self.policy.max_backoff);
             at
         };
-        self.wait(node, at);
-        ended
+        self.set_due(node, at);
+        confirmed
     }
 
-    /// A node has started again: it holds nothing from before. The sessions that are struck out.
+    /// Removes the pending tear-downs of a node that restarted at `at`, as its earlier sessions are gone. Returns the
+    /// sessions that were removed.
     pub fn node_started(&mut self, node: NodeId, at: Instant) -> Vec<SessionId> {
-        let before = |debt: &Debt| debt.held.node == node && debt.since <= at && !debt.out;
-        let gone: Vec<SessionId> =
-            self.debts.iter().filter(|(_, d)| before(d)).map(|(&sess, _)| sess).collect();
-        for &sess in &gone {
-            self.strike(sess);
-            self.tally.forgotten += 1;
+        let gone = |pending: &PendingTeardown| {
+            pending.held.node == node && pending.since <= at && !pending.in_flight
+        };
+        let removed: Vec<SessionId> =
+            self.pending.iter().filter(|(_, p)| gone(p)).map(|(&session, _)| session).collect();
+        for &session in &removed {
+            self.remove_pending(session);
+            self.tally.expired += 1;
         }
-        gone
+        removed
     }
 }
 
