--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -1,78 +1,81 @@
-//! What nodes were found not to hold, though the catalogue says that they do. A node that answers 404 to a SETUP has said
-//! that nothing runs (RFC 2326, 7.1.1 and 11.3.1) and nothing of its health: it is believed for that title alone, until
-//! the node starts again or a list tells of it anew, and for so long at most, as nodes are filled behind our back.
+//! Titles that nodes were found not to hold although the catalogue lists them there. A node that answers a SETUP with
+//! 404 states that nothing runs (RFC 2326, 7.1.1 and 11.3.1) and says nothing about its health. The answer holds for
+//! that title alone, until the node restarts or a session of the title plays there, and at most for a fixed time,
+//! because nodes are filled without the director being told.
 //!
-//! Bounded: of many, those told longest ago are forgotten first, at the cost of one more 404 each. There is no I/O, no clock
-//! and no thread in it.
+//! The number of entries is bounded. At the limit the oldest entry is evicted, which costs one more 404. The table does
+//! no I/O, reads no clock and starts no thread.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use ashglade::ids::{NodeId, TitleId};
 use ashglade::time::{Instant, Span};
 
+/// A bounded table of missing titles by node, whose entries expire.
 #[derive(Debug)]
-pub struct Missing {
-    /// By node and title: until when it is believed.
-    until: BTreeMap<(NodeId, TitleId), Instant>,
-    /// The same in the order of time.
-    order: BTreeSet<(Instant, NodeId, TitleId)>,
-    most: usize,
-    believed: Span,
+pub struct MissingTitles {
+    /// Expiry of each entry.
+    expiries: BTreeMap<(NodeId, TitleId), Instant>,
+    /// The same entries ordered by expiry.
+    by_expiry: BTreeSet<(Instant, NodeId, TitleId)>,
+    capacity: usize,
+    ttl: Span,
 }
 
-impl Missing {
-    /// So many are held at most, each for so long.
-    pub fn new(most: usize, believed: Span) -> Missing {
-        Missing { until: BTreeMap::new(), order: BTreeSet::new(), most, believed }
+impl MissingTitles {
+    /// Creates a table of at most `capacity` entries, each of which expires after `ttl`.
+    pub fn new(capacity: usize, ttl: Span) -> MissingTitles {
+        MissingTitles { expiries: BTreeMap::new(), by_expiry: BTreeSet::new(), capacity, ttl }
     }
 
     pub fn len(&self) -> usize {
-        self.until.len()
+        self.expiries.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.until.is_empty()
+        self.expiries.is_empty()
     }
 
-    /// The node said that it doesn't hold the title.
-    pub fn told(&mut self, node: NodeId, title: TitleId, now: Instant) {
+    /// Records that the node has answered that it doesn't hold the title.
+    pub fn record(&mut self, node: NodeId, title: TitleId, now: Instant) {
         self.forget(node, title);
-        while self.until.len() >= self.most
-            && let Some((_, node, title)) = self.order.pop_first()
+        while self.expiries.len() >= self.capacity
+            && let Some((_, node, title)) = self.by_expiry.pop_first()
         {
-            self.until.remove(&(node, title));
+            self.expiries.remove(&(node, title));
         }
-        if self.most > 0 {
-            let until = now + self.believed;
-            self.until.insert((node, title), until);
-            self.order.insert((until, node, title));
+        if self.capacity > 0 {
+            let expiry = now + self.ttl;
+            self.expiries.insert((node, title), expiry);
+            self.by_expiry.insert((expiry, node, title));
         }
     }
 
-    /// Whether it is believed not to hold it.
-    pub fn lacks(&self, node: NodeId, title: TitleId, now: Instant) -> bool {
-        self.until.get(&(node, title)).is_some_and(|&until| now < until)
+    /// Returns whether the node is known not to hold the title.
+    pub fn is_missing(&self, node: NodeId, title: TitleId, now: Instant) -> bool {
+        self.expiries.get(&(node, title)).is_some_and(|&expiry| now < expiry)
     }
 
-    /// It holds it after all, as a session plays there.
+    /// Removes the entry, as a session of the title plays at the node.
     pub fn forget(&mut self, node: NodeId, title: TitleId) {
-        if let Some(until) = self.until.remove(&(node, title)) {
-            self.order.remove(&(until, node, title));
+        if let Some(expiry) = self.expiries.remove(&(node, title)) {
+            self.by_expiry.remove(&(expiry, node, title));
         }
     }
 
-    /// The node started again: nothing is known of it.
-    pub fn started(&mut self, node: NodeId) {
-        let mine = (node, TitleId(0))..=(node, TitleId(u64::MAX));
-        let gone: Vec<TitleId> = self.until.range(mine).map(|(&(_, title), _)| title).collect();
-        gone.into_iter().for_each(|title| self.forget(node, title));
+    /// Removes all entries of a node that has restarted.
+    pub fn node_started(&mut self, node: NodeId) {
+        let range = (node, TitleId(0))..=(node, TitleId(u64::MAX));
+        let titles: Vec<TitleId> = self.expiries.range(range).map(|(&(_, title), _)| title).collect();
+        titles.into_iter().for_each(|title| self.forget(node, title));
     }
 
-    /// Lets go of what is no longer believed.
-    pub fn tidy(&mut self, now: Instant) {
-        while let Some(&(until, node, title)) = self.order.first().filter(|(until, ..)| *until <= now) {
-            self.order.remove(&(until, node, title));
-            self.until.remove(&(node, title));
+    /// Removes the entries that have expired.
+    pub fn remove_expired(&mut self, now: Instant) {
+        while let Some(&(expiry, node, title)) = self.by_expiry.first().filter(|(expiry, ..)| *expiry <= now)
+        {
+            self.by_expiry.remove(&(expiry, node, title));
+            self.expiries.remove(&(node, title));
         }
     }
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! The rounds.
+//! The engine: handles inputs and timers, runs the policy and collects the effects of each round.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,537 +7,601 @@
 use ashglade::policy::{Director, Round};
 use ashglade::time::{Instant, Span};
 use ashglade_admission::{Came, Door, Request, Terms, Verdict};
-use ashglade_catalogue::Missing;
+use ashglade_catalogue::MissingTitles;
 use ashglade_discovery::{List, Roster, Standing};
 
-use crate::answers::{Hand, Hands, Tally};
-use crate::desk::Desk;
+use crate::decision_sink::EffectSink;
+use crate::delivery::DeliveryTotals;
 use crate::messages::{
-    self, BusyReason, Effect, Input, LeaseExpiry, LoadReport, NodeUpdate, SessionResponse, ViewerRequest,
+    BusyReason, Effect, Input, LeaseExpiry, LoadReport, NodeStatus, NodeUpdate, SessionResponse,
+    ViewerRequest,
 };
-use crate::notes::Notes;
-use crate::setups::{self, Withdrawn};
-use crate::timers::{Timer, Timers};
+use crate::sessions::{SessionState, SessionTable, Tally};
+use crate::setups::{Acceptance, CancelReason, PendingSetup};
+use crate::timers::{Timer, TimerQueue};
 
-/// What an engine is started with.
+/// Configuration of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineConfig {
     pub director: DirectorConfig,
-    /// Kept of each setup timeout for the way of the answer.
+    /// Part of each setup timeout that is reserved for delivering the response to the viewer.
     pub answer_margin: Span,
     pub probe_timeout: Span,
-    /// Sessions in hand at once, set-ups included.
+    /// Maximum number of concurrent sessions, including those being set up.
     pub max_sessions: usize,
-    /// The fair door, if there is one.
+    /// The admission queue; `None` admits all requests at once.
     pub admission: Option<Terms>,
 }
 
-/// Titles that nodes were found not to hold: so many at most, each believed for so many seconds.
-const MOST_MISSING: usize = 65_536;
-const BELIEVED: f64 = 300.0;
-/// Delivered shares are told once a second.
-const NOTES_EVERY: f64 = 1.0;
+/// Maximum number of remembered titles that nodes don't hold.
+const MAX_MISSING_TITLES: usize = 65_536;
+/// The time after which a missing title is tried at its node again.
+const MISSING_TITLE_TTL_SECONDS: f64 = 300.0;
+/// The interval at which delivery ratios are reported to the policy.
+const DELIVERY_REPORT_INTERVAL_SECONDS: f64 = 1.0;
 
+/// The state machine of one director. See the crate documentation.
 pub struct Engine {
-    director: Director,
-    start: EngineConfig,
-    roster: Roster,
-    /// Nodes that the last numbered events told as ready.
-    ready: BTreeSet<NodeId>,
-    door: Option<Door>,
-    /// What nodes were found not to hold.
-    missing: Missing,
-    hands: Hands,
-    timers: Timers,
-    notes: Notes,
+    policy: Director,
+    config: EngineConfig,
+    membership: Roster,
+    /// Nodes that the discovery updates so far report as ready.
+    ready_nodes: BTreeSet<NodeId>,
+    admission: Option<Door>,
+    missing_titles: MissingTitles,
+    sessions: SessionTable,
+    timers: TimerQueue,
+    delivery: DeliveryTotals,
+    /// Nodes of the outstanding probes, by probe number.
     probes: BTreeMap<u64, NodeId>,
     next_probe: u64,
-    door_due: Option<Instant>,
+    /// When the earliest admission timer fires.
+    admission_due: Option<Instant>,
     draining: bool,
     drained: bool,
-    turns: Vec<usize>,
-    turns_of: usize,
-    turns_lapse: Option<LeaseExpiry>,
-    repeats_span: Span,
-    repeats_lapse: Option<LeaseExpiry>,
-    seen: Vec<SetupResult>,
+    slow_start_turns: Vec<usize>,
+    slow_start_turn_total: usize,
+    slow_start_lease: Option<LeaseExpiry>,
+    retry_window: Span,
+    retry_lease: Option<LeaseExpiry>,
+    setup_results: Vec<SetupResult>,
 }
 
-/// What came of a SETUP at a node: it started, or how it ended.
+/// The result of one SETUP at a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SetupResult {
     pub node: NodeId,
+    /// How the SETUP failed; `None` if it started a session.
     pub failure: Option<AttemptOutcome>,
 }
 
-/// One piece of news for the module, in its words.
-enum News {
-    List,
-    Told(bool, Vec<NodeUpdate>),
-    UnderWay(SessionId, SessionRequest, NodeId),
-    WentOn(NodeId),
-    Turns(Vec<usize>, usize),
-    Repeats(usize, Span),
-    Doubted(Vec<NodeId>),
-    Asked(SessionId, SessionRequest),
-    Left(SessionId),
-    Started(SessionId, SetupNumber, NodeId),
-    Ended(SessionId, SetupNumber, NodeId, AttemptOutcome, bool),
-    Stays(SessionId, ashglade::ids::Rung),
-    Delivered(NodeId, f64),
-    Load(NodeId, LoadReport),
-    Probed(NodeId, bool),
-    Woke(ashglade::ids::TimerId),
+/// An event to report to the policy in this round.
+enum PolicyEvent {
+    Snapshot,
+    /// Node updates, and whether they cover all nodes.
+    Update(bool, Vec<NodeUpdate>),
+    SessionHandedOver(SessionId, SessionRequest, NodeId),
+    NodeKeptRunning(NodeId),
+    /// The turns that this director owns, and their total.
+    SlowStartTurns(Vec<usize>, usize),
+    RetryLimitPerNode(usize, Span),
+    SuspectedNodes(Vec<NodeId>),
+    SessionRequested(SessionId, SessionRequest),
+    ViewerLeft(SessionId),
+    SetupAccepted(SessionId, SetupNumber, NodeId),
+    /// The outcome of a SETUP or of a playing session, and whether the session is over with it.
+    AttemptEnded(SessionId, SetupNumber, NodeId, AttemptOutcome, bool),
+    RungUnchanged(SessionId, ashglade::ids::Rung),
+    NodeDelivery(NodeId, f64),
+    NodeLoad(NodeId, LoadReport),
+    /// A probe has finished, and whether the node answered it.
+    ProbeFinished(NodeId, bool),
+    TimerFired(ashglade::ids::TimerId),
 }
 
 impl Engine {
-    pub fn new(start: EngineConfig, now: Instant) -> Engine {
-        let mut timers = Timers::default();
-        timers.at(now + Span::from_secs(NOTES_EVERY), Timer::Notes);
+    /// Creates an engine that starts at `now`.
+    pub fn new(config: EngineConfig, now: Instant) -> Engine {
+        let mut timers = TimerQueue::default();
+        timers.schedule(now + Span::from_secs(DELIVERY_REPORT_INTERVAL_SECONDS), Timer::DeliveryReport);
         Engine {
-            director: Director::new(&start.director, now),
-            door: start.admission.clone().map(|terms| Door::new(terms, now)),
-            start,
-            roster: Roster::default(),
-            ready: BTreeSet::new(),
-            missing: Missing::new(MOST_MISSING, Span::from_secs(BELIEVED)),
-            hands: Hands::default(),
+            policy: Director::new(&config.director, now),
+            admission: config.admission.clone().map(|config| Door::new(config, now)),
+            config,
+            membership: Roster::default(),
+            ready_nodes: BTreeSet::new(),
+            missing_titles: MissingTitles::new(
+                MAX_MISSING_TITLES,
+                Span::from_secs(MISSING_TITLE_TTL_SECONDS),
+            ),
+            sessions: SessionTable::default(),
             timers,
-            notes: Notes::default(),
+            delivery: DeliveryTotals::default(),
             probes: BTreeMap::new(),
             next_probe: 0,
-            door_due: None,
+            admission_due: None,
             draining: false,
             drained: false,
-            turns: Vec::new(),
-            turns_of: 0,
-            turns_lapse: None,
-            repeats_span: Span::ZERO,
-            repeats_lapse: None,
-            seen: Vec::new(),
+            slow_start_turns: Vec::new(),
+            slow_start_turn_total: 0,
+            slow_start_lease: None,
+            retry_window: Span::ZERO,
+            retry_lease: None,
+            setup_results: Vec::new(),
         }
     }
 
-    /// What came of SETUPs in the last round, for the other directors.
+    /// Returns the results of SETUPs in the last round, which are shared with the other directors.
     pub fn setup_results(&self) -> &[SetupResult] {
-        &self.seen
+        &self.setup_results
     }
 
-    /// When the next round is due if nothing comes in before.
+    /// Returns when the next round is due if no input arrives before.
     pub fn next_deadline(&self) -> Option<Instant> {
-        self.timers.next()
+        self.timers.next_deadline()
     }
 
+    /// Returns the counters since the start.
     pub fn tally(&self) -> &Tally {
-        &self.hands.tally
+        &self.sessions.tally
     }
 
+    /// Returns the number of sessions, including those being set up.
     pub fn session_count(&self) -> usize {
-        self.hands.len()
+        self.sessions.len()
     }
 
+    /// Returns the nodes that discovery has reported.
     pub fn membership(&self) -> &Roster {
-        &self.roster
+        &self.membership
     }
 
-    /// Takes all that has come in, in order, then what is due, and lets the module decide once.
+    /// Runs one round: handles the inputs in order, then the timers that are due, then lets the policy decide once.
+    /// Returns the effects in the order in which they have to be carried out.
     pub fn round(&mut self, now: Instant, inputs: Vec<Input>) -> Vec<Effect> {
         let mut effects = Vec::new();
-        let mut news = Vec::new();
-        self.seen.clear();
+        let mut events = Vec::new();
+        self.setup_results.clear();
         for input in inputs {
-            self.take(now, input, &mut news, &mut effects);
+            self.handle_input(now, input, &mut events, &mut effects);
         }
-        self.lapse(now, &mut news);
-        // Answers that are late only because we stood still have been taken; now what they left undone is due.
-        while let Some(timer) = self.timers.pop(now) {
-            self.due(now, timer, &mut news, &mut effects);
+        self.expire_leases(now, &mut events);
+        // Inputs come before timers: after a pause of the process, an outcome that arrived meanwhile counts rather
+        // than the timeout it would have met.
+        while let Some(timer) = self.timers.pop_due(now) {
+            self.handle_timer(now, timer, &mut events, &mut effects);
         }
-        self.let_in(now, &mut news, &mut effects);
-        let mut desk = Desk {
+        self.poll_admission(now, &mut events, &mut effects);
+        let mut sink = EffectSink {
             now,
-            hands: &mut self.hands,
+            sessions: &mut self.sessions,
             timers: &mut self.timers,
             effects: &mut effects,
             probes: &mut self.probes,
             next_probe: &mut self.next_probe,
-            probe_timeout: self.start.probe_timeout,
-            missing: &self.missing,
+            probe_timeout: self.config.probe_timeout,
+            missing_titles: &self.missing_titles,
         };
-        let roster = &self.roster;
-        self.director.run_round(now, |round| news.iter().for_each(|n| tell(round, roster, n)), &mut desk);
-        self.came_out(now, &effects);
-        if self.draining && !self.drained && self.hands.is_empty() {
+        let membership = &self.membership;
+        self.policy.run_round(
+            now,
+            |round| events.iter().for_each(|e| report(round, membership, e)),
+            &mut sink,
+        );
+        self.complete_admissions(now, &effects);
+        if self.draining && !self.drained && self.sessions.is_empty() {
             self.drained = true;
             effects.push(Effect::Drained);
         }
         effects
     }
 
-    /// Rights whose lease is over are not used in this round, whoever has or hasn't said so.
-    fn lapse(&mut self, now: Instant, news: &mut Vec<News>) {
-        if let Some(lapse) = self.turns_lapse.take_if(|lapse| lapse.at <= now) {
-            self.turns.truncate(lapse.retained);
-            news.push(News::Turns(self.turns.clone(), self.turns_of));
+    /// Gives up rights whose lease has expired, whether or not an input has reported the expiry yet.
+    fn expire_leases(&mut self, now: Instant, events: &mut Vec<PolicyEvent>) {
+        if let Some(lease) = self.slow_start_lease.take_if(|lease| lease.at <= now) {
+            self.slow_start_turns.truncate(lease.retained);
+            events
+                .push(PolicyEvent::SlowStartTurns(self.slow_start_turns.clone(), self.slow_start_turn_total));
         }
-        if let Some(lapse) = self.repeats_lapse.take_if(|lapse| lapse.at <= now) {
-            news.push(News::Repeats(lapse.retained, self.repeats_span));
+        if let Some(lease) = self.retry_lease.take_if(|lease| lease.at <= now) {
+            events.push(PolicyEvent::RetryLimitPerNode(lease.retained, self.retry_window));
         }
     }
 
-    /// What the door says: some go in to the module, some are sent away.
-    fn let_in(&mut self, now: Instant, news: &mut Vec<News>, effects: &mut Vec<Effect>) {
-        let Some(door) = &mut self.door else { return };
-        for verdict in door.round(now) {
+    /// Passes admitted requests on to the policy and answers rejected ones.
+    fn poll_admission(&mut self, now: Instant, events: &mut Vec<PolicyEvent>, effects: &mut Vec<Effect>) {
+        let Some(admission) = &mut self.admission else { return };
+        for verdict in admission.round(now) {
             match verdict {
                 Verdict::In { sess, .. } => {
-                    let Some(hand) = self.hands.get_mut(sess) else { continue };
-                    let Some(want) = hand.at_door.take() else { continue };
-                    // What is left of its time, to the module's end of it.
-                    let patience = hand.answer_by - self.start.answer_margin * 0.5 - now;
-                    news.push(News::Asked(sess, viewing(want, patience)));
+                    let Some(state) = self.sessions.get_mut(sess) else { continue };
+                    let Some(request) = state.queued_request.take() else { continue };
+                    // The rest of the setup timeout, less the full answer margin: the response deadline has only half
+                    // of the margin deducted.
+                    let remaining = state.response_deadline - self.config.answer_margin * 0.5 - now;
+                    events.push(PolicyEvent::SessionRequested(sess, policy_request(request, remaining)));
                 }
                 Verdict::Away { sess, retry_after, why } => {
-                    let answer = SessionResponse::Busy { retry_after, why: BusyReason::Door(why) };
-                    if self.hands.answer(sess, &answer) {
-                        effects.push(Effect::Respond { session: sess, response: answer });
+                    let response = SessionResponse::Busy { retry_after, why: BusyReason::Door(why) };
+                    if self.sessions.record_response(sess, &response) {
+                        effects.push(Effect::Respond { session: sess, response });
                     }
                 }
             }
         }
     }
 
-    /// Tells the door what came of those that it let in, and when it is to be looked at again.
-    fn came_out(&mut self, now: Instant, effects: &[Effect]) {
-        let Some(door) = &mut self.door else { return };
+    /// Reports the responses of this round to the admission queue, and schedules its next poll.
+    fn complete_admissions(&mut self, now: Instant, effects: &[Effect]) {
+        let Some(admission) = &mut self.admission else { return };
         for effect in effects {
-            if let Effect::Respond { session: sess, response: answer } = effect {
-                let how = match answer {
+            if let Effect::Respond { session, response } = effect {
+                let outcome = match response {
                     SessionResponse::Plays { .. } => Came::Plays,
                     SessionResponse::Busy { .. } => Came::Busy,
                     SessionResponse::TornDown => Came::Other,
                 };
-                door.done(*sess, how, now);
+                admission.done(*session, outcome, now);
             }
         }
-        if let Some(at) = door.next_due(now) {
-            // One look is due at a time: each round would add its own.
-            if self.door_due.is_none_or(|due| at < due) {
-                self.door_due = Some(at);
-                self.timers.at(at, Timer::Door);
+        if let Some(at) = admission.next_due(now) {
+            // Without this check each round would schedule a timer of its own.
+            if self.admission_due.is_none_or(|due| at < due) {
+                self.admission_due = Some(at);
+                self.timers.schedule(at, Timer::Admission);
             }
         }
     }
 
-    /// The door's own counters, if there is one.
+    /// Returns the admission queue, if one is configured.
     pub fn admission(&self) -> Option<&Door> {
-        self.door.as_ref()
+        self.admission.as_ref()
     }
 
-    fn take(&mut self, now: Instant, input: Input, news: &mut Vec<News>, effects: &mut Vec<Effect>) {
+    fn handle_input(
+        &mut self,
+        now: Instant,
+        input: Input,
+        events: &mut Vec<PolicyEvent>,
+        effects: &mut Vec<Effect>,
+    ) {
         match input {
-            Input::DiscoverySnapshot(list) => self.list(list, news, effects),
-            Input::DiscoveryUpdate { full: whole, nodes } => {
-                if whole {
-                    self.ready.clear();
+            Input::DiscoverySnapshot(list) => self.handle_snapshot(list, events, effects),
+            Input::DiscoveryUpdate { full, nodes } => {
+                if full {
+                    self.ready_nodes.clear();
                 }
-                for told in &nodes {
-                    if matches!(told.status, messages::NodeStatus::Ready(_)) {
-                        self.ready.insert(told.node);
+                for update in &nodes {
+                    if matches!(update.status, NodeStatus::Ready(_)) {
+                        self.ready_nodes.insert(update.node);
                     } else {
-                        self.ready.remove(&told.node);
+                        self.ready_nodes.remove(&update.node);
                     }
                 }
-                news.push(News::Told(whole, nodes));
-                let ready = std::mem::take(&mut self.ready);
-                self.recall(|node| ready.contains(&node), effects);
-                self.ready = ready;
+                events.push(PolicyEvent::Update(full, nodes));
+                let ready_nodes = std::mem::take(&mut self.ready_nodes);
+                self.cancel_unsent(|node| ready_nodes.contains(&node), effects);
+                self.ready_nodes = ready_nodes;
             }
-            Input::SessionHandedOver { session: sess, request: want, node } => {
-                if self.hands.len() < self.start.max_sessions {
+            Input::SessionHandedOver { session, request, node } => {
+                if self.sessions.len() < self.config.max_sessions {
                     let answered = true;
-                    let hand = Hand { answered, setups: 1, plays_at: Some(node), ..self.hand(now, &want) };
-                    self.hands.insert(sess, hand);
-                    news.push(News::UnderWay(sess, viewing(want, Span::ZERO), node));
+                    let state = SessionState {
+                        answered,
+                        setup_count: 1,
+                        playing_node: Some(node),
+                        ..self.new_session(now, &request)
+                    };
+                    self.sessions.insert(session, state);
+                    events.push(PolicyEvent::SessionHandedOver(
+                        session,
+                        policy_request(request, Span::ZERO),
+                        node,
+                    ));
                 }
             }
-            Input::NodeKeptRunning { node } => news.push(News::WentOn(node)),
-            Input::NodeDelivery { node, share } => news.push(News::Delivered(node, share)),
-            Input::SessionRequested { session: sess, request: want } => {
-                self.asked(now, sess, want, news, effects)
+            Input::NodeKeptRunning { node } => events.push(PolicyEvent::NodeKeptRunning(node)),
+            Input::NodeDelivery { node, share } => events.push(PolicyEvent::NodeDelivery(node, share)),
+            Input::SessionRequested { session, request } => {
+                self.handle_request(now, session, request, events, effects)
             }
-            Input::ViewerLeft { session: sess } => self.left(now, sess, news, effects),
-            Input::SetupWritten { session: sess, setup } => {
-                if let Some(out) = self.out_mut(sess, setup) {
-                    out.written = true;
+            Input::ViewerLeft { session } => self.handle_viewer_left(now, session, events, effects),
+            Input::SetupWritten { session, setup } => {
+                if let Some(pending) = self.pending_setup_mut(session, setup) {
+                    pending.written = true;
                 }
             }
-            Input::SetupAccepted { session: sess, setup, load } => {
-                self.started(sess, setup, load, news, effects)
+            Input::SetupAccepted { session, setup, load } => {
+                self.handle_setup_accepted(session, setup, load, events, effects)
             }
-            Input::SetupFailed { session: sess, setup, outcome: how, load } => {
-                let Some(out) = self.out_mut(sess, setup) else { return };
-                let (node, how) = (out.node, out.ending(how));
+            Input::SetupFailed { session, setup, outcome, load } => {
+                let Some(pending) = self.pending_setup_mut(session, setup) else { return };
+                let (node, outcome) = (pending.node, pending.effective_outcome(outcome));
                 if let Some(load) = load {
-                    news.push(News::Load(node, load));
+                    events.push(PolicyEvent::NodeLoad(node, load));
                 }
-                self.ended(sess, setup, node, how, news);
+                self.finish_setup(session, setup, node, outcome, events);
             }
-            Input::TitleMissing { session: sess, setup, load } => {
-                let Some(node) = self.out_mut(sess, setup).map(|out| out.node) else { return };
-                if let Some(title) = self.hands.get(sess).map(|hand| hand.title) {
-                    self.missing.told(node, title, now);
+            Input::TitleMissing { session, setup, load } => {
+                let Some(node) = self.pending_setup_mut(session, setup).map(|pending| pending.node) else {
+                    return;
+                };
+                if let Some(title) = self.sessions.get(session).map(|state| state.title) {
+                    self.missing_titles.record(node, title, now);
                 }
-                self.hands.tally.missing += 1;
-                news.extend(load.map(|load| News::Load(node, load)));
-                self.not_held(sess, setup, node, news);
-            }
-            Input::SessionEnded { session: sess, outcome: how } => {
-                let Some((node, setups)) = self.hands.get(sess).and_then(|h| Some((h.plays_at?, h.setups)))
+                self.sessions.tally.missing += 1;
+                events.extend(load.map(|load| PolicyEvent::NodeLoad(node, load)));
+                self.finish_without_title(session, setup, node, events);
+            }
+            Input::SessionEnded { session, outcome } => {
+                let Some((node, setups)) = self
+                    .sessions
+                    .get(session)
+                    .and_then(|state| Some((state.playing_node?, state.setup_count)))
                 else {
                     return;
                 };
-                self.hands.tally.broken += 1;
-                self.hands.remove(sess);
-                news.push(News::Ended(sess, SetupNumber(setups.saturating_sub(1)), node, how, true));
-            }
-            Input::RungUnchanged { session: sess, rung } => {
-                if let Some(hand) = self.hands.get_mut(sess) {
-                    hand.rung = rung;
-                    news.push(News::Stays(sess, rung));
+                self.sessions.tally.broken += 1;
+                self.sessions.remove(session);
+                events.push(PolicyEvent::AttemptEnded(
+                    session,
+                    SetupNumber(setups.saturating_sub(1)),
+                    node,
+                    outcome,
+                    true,
+                ));
+            }
+            Input::RungUnchanged { session, rung } => {
+                if let Some(state) = self.sessions.get_mut(session) {
+                    state.rung = rung;
+                    events.push(PolicyEvent::RungUnchanged(session, rung));
                 }
             }
-            Input::SessionDelivery { session: sess, share } => {
-                if let Some(hand) = self.hands.get(sess)
-                    && let Some(node) = hand.plays_at
+            Input::SessionDelivery { session, share } => {
+                if let Some(state) = self.sessions.get(session)
+                    && let Some(node) = state.playing_node
                 {
-                    let scale = self.start.director.groups.get(hand.group.0).map_or(1.0, |g| g.rate_scale);
-                    let rung = self.start.director.ladder.get(usize::from(hand.rung.0));
-                    self.notes.add(node, rung.map_or(0.0, |&(kb, _)| kb) * scale, share);
+                    let scale = self.config.director.groups.get(state.group.0).map_or(1.0, |g| g.rate_scale);
+                    let rung = self.config.director.ladder.get(usize::from(state.rung.0));
+                    self.delivery.add(node, rung.map_or(0.0, |&(kb, _)| kb) * scale, share);
                 }
             }
-            Input::NodeLoad { node, load } => news.push(News::Load(node, load)),
+            Input::NodeLoad { node, load } => events.push(PolicyEvent::NodeLoad(node, load)),
             Input::ProbeResult { probe, load } => {
                 if let Some(node) = self.probes.remove(&probe) {
-                    news.extend(load.map(|load| News::Load(node, load)));
-                    news.push(News::Probed(node, load.is_some()));
+                    events.extend(load.map(|load| PolicyEvent::NodeLoad(node, load)));
+                    events.push(PolicyEvent::ProbeFinished(node, load.is_some()));
                 }
             }
-            Input::SlowStartTurns { owned: ours, total: of, lease_expiry: lapse } => {
-                (self.turns, self.turns_of, self.turns_lapse) = (ours.clone(), of, lapse);
-                news.push(News::Turns(ours, of));
+            Input::SlowStartTurns { owned, total, lease_expiry } => {
+                (self.slow_start_turns, self.slow_start_turn_total, self.slow_start_lease) =
+                    (owned.clone(), total, lease_expiry);
+                events.push(PolicyEvent::SlowStartTurns(owned, total));
             }
-            Input::RetryLimitPerNode { limit: most, window: span, lease_expiry: lapse } => {
-                (self.repeats_span, self.repeats_lapse) = (span, lapse);
-                news.push(News::Repeats(most, span));
+            Input::RetryLimitPerNode { limit, window, lease_expiry } => {
+                (self.retry_window, self.retry_lease) = (window, lease_expiry);
+                events.push(PolicyEvent::RetryLimitPerNode(limit, window));
             }
-            Input::SuspectedNodes { nodes } => news.push(News::Doubted(nodes)),
+            Input::SuspectedNodes { nodes } => events.push(PolicyEvent::SuspectedNodes(nodes)),
             Input::Drain => self.draining = true,
         }
     }
 
-    fn out_mut(&mut self, sess: SessionId, setup: SetupNumber) -> Option<&mut setups::Out> {
-        self.hands.get_mut(sess)?.out.as_mut().filter(|out| out.setup == setup)
+    /// Returns the session's pending SETUP if it has this number.
+    fn pending_setup_mut(&mut self, session: SessionId, setup: SetupNumber) -> Option<&mut PendingSetup> {
+        self.sessions.get_mut(session)?.pending_setup.as_mut().filter(|pending| pending.number == setup)
     }
 
-    fn list(&mut self, list: List, news: &mut Vec<News>, effects: &mut Vec<Effect>) {
-        // One that starts again may have been filled anew.
+    fn handle_snapshot(&mut self, list: List, events: &mut Vec<PolicyEvent>, effects: &mut Vec<Effect>) {
+        // A node that has restarted may hold other titles now.
         for entry in &list.entries {
             let node = entry.node();
-            let known = self.roster.entry(node).map(|before| before.place.started);
+            let known = self.membership.entry(node).map(|before| before.place.started);
             if known.is_some_and(|before| before != entry.place.started) {
-                self.missing.started(node);
+                self.missing_titles.node_started(node);
             }
         }
-        let refused = match self.roster.offer(list) {
+        let rejection = match self.membership.offer(list) {
             Ok(None) => return,
             Ok(Some(_)) => {
-                news.push(News::List);
-                let roster = std::mem::take(&mut self.roster);
-                let ready = |node| roster.entry(node).is_some_and(|e| e.standing == Standing::Ready);
-                self.recall(ready, effects);
-                self.roster = roster;
+                events.push(PolicyEvent::Snapshot);
+                let membership = std::mem::take(&mut self.membership);
+                let ready = |node| membership.entry(node).is_some_and(|e| e.standing == Standing::Ready);
+                self.cancel_unsent(ready, effects);
+                self.membership = membership;
                 None
             }
             Err(refusal) => Some(refusal.to_string()),
         };
-        let generation = self.roster.list().map_or(0, |list| list.generation);
-        effects.push(Effect::DiscoveryResult { generation, rejection: refused });
+        let generation = self.membership.list().map_or(0, |list| list.generation);
+        effects.push(Effect::DiscoveryResult { generation, rejection });
     }
 
-    /// Rule 3: what waits for a connection to a node that now drains or is gone must not be written later, when
-    /// the grace may be over. What has been written goes on.
-    fn recall(&mut self, ready: impl Fn(NodeId) -> bool, effects: &mut Vec<Effect>) {
-        for (sess, hand) in self.hands.iter_mut() {
-            let Some(out) = &mut hand.out else { continue };
-            if !ready(out.node)
-                && !out.written
-                && out.withdrawn.is_none()
-                && out.withdraw(Withdrawn::Recalled)
+    /// Cancels unsent SETUPs to nodes that are no longer ready. While they wait for a connection, the node's drain
+    /// grace period may end. SETUPs of which a byte was written continue.
+    fn cancel_unsent(&mut self, ready: impl Fn(NodeId) -> bool, effects: &mut Vec<Effect>) {
+        for (session, state) in self.sessions.iter_mut() {
+            let Some(pending) = &mut state.pending_setup else { continue };
+            if !ready(pending.node)
+                && !pending.written
+                && pending.cancelled.is_none()
+                && pending.cancel(CancelReason::NodeDraining)
             {
-                effects.push(Effect::CancelSetup { session: sess, setup: out.setup, if_unsent: true });
+                effects.push(Effect::CancelSetup { session, setup: pending.number, if_unsent: true });
             }
         }
     }
 
-    fn asked(
+    fn handle_request(
         &mut self,
         now: Instant,
-        sess: SessionId,
-        want: ViewerRequest,
-        news: &mut Vec<News>,
+        session: SessionId,
+        request: ViewerRequest,
+        events: &mut Vec<PolicyEvent>,
         effects: &mut Vec<Effect>,
     ) {
-        self.hands.tally.asked += 1;
-        let full = self.hands.len() >= self.start.max_sessions;
+        self.sessions.tally.asked += 1;
+        let full = self.sessions.len() >= self.config.max_sessions;
         if full || self.draining {
-            self.hands.tally.over_bound += u64::from(full);
-            self.hands.tally.draining += u64::from(self.draining);
-            self.hands.tally.busy += 1;
+            self.sessions.tally.over_bound += u64::from(full);
+            self.sessions.tally.draining += u64::from(self.draining);
+            self.sessions.tally.busy += 1;
             let why = if full { BusyReason::TooManySessions } else { BusyReason::Draining };
-            let retry_after = self.start.director.max_retry_after;
-            effects.push(Effect::Respond {
-                session: sess,
-                response: SessionResponse::Busy { retry_after, why },
-            });
+            let retry_after = self.config.director.max_retry_after;
+            effects.push(Effect::Respond { session, response: SessionResponse::Busy { retry_after, why } });
             return;
         }
-        let patience = want.setup_timeout - self.start.answer_margin;
-        let hand = self.hand(now, &want);
-        self.timers.at(hand.answer_by, Timer::Answer(sess));
-        let terms = self.start.director.groups.get(want.group.0);
-        let hand = match (&mut self.door, terms) {
-            (Some(door), Some(terms)) => {
-                let ViewerRequest { group, tenant, client, setup_timeout, .. } = want;
-                let start_target = terms.start_target;
-                door.offer(Request { sess, group, tenant, client, start_target, setup_timeout }, now);
-                Hand { at_door: Some(want), ..hand }
+        let remaining = request.setup_timeout - self.config.answer_margin;
+        let state = self.new_session(now, &request);
+        self.timers.schedule(state.response_deadline, Timer::ResponseDeadline(session));
+        let group_config = self.config.director.groups.get(request.group.0);
+        let state = match (&mut self.admission, group_config) {
+            (Some(admission), Some(group_config)) => {
+                let ViewerRequest { group, tenant, client, setup_timeout, .. } = request;
+                let start_target = group_config.start_target;
+                admission.offer(
+                    Request { sess: session, group, tenant, client, start_target, setup_timeout },
+                    now,
+                );
+                SessionState { queued_request: Some(request), ..state }
             }
             _ => {
-                news.push(News::Asked(sess, viewing(want, patience)));
-                hand
+                events.push(PolicyEvent::SessionRequested(session, policy_request(request, remaining)));
+                state
             }
         };
-        self.hands.insert(sess, hand);
+        self.sessions.insert(session, state);
     }
 
-    fn hand(&self, now: Instant, want: &ViewerRequest) -> Hand {
-        Hand {
-            group: want.group,
-            title: want.title,
-            // Half of the margin is for what the last SETUP's ending takes to reach the module.
-            answer_by: now + want.setup_timeout - self.start.answer_margin * 0.5,
+    fn new_session(&self, now: Instant, request: &ViewerRequest) -> SessionState {
+        SessionState {
+            group: request.group,
+            title: request.title,
+            // Half of the margin allows for the time that the outcome of the last SETUP takes to reach the policy.
+            response_deadline: now + request.setup_timeout - self.config.answer_margin * 0.5,
             answered: false,
-            left: false,
-            at_door: None,
-            setups: 0,
-            out: None,
-            plays_at: None,
+            viewer_left: false,
+            queued_request: None,
+            setup_count: 0,
+            pending_setup: None,
+            playing_node: None,
             rung: self
-                .start
+                .config
                 .director
                 .groups
-                .get(want.group.0)
+                .get(request.group.0)
                 .map_or_else(Default::default, |g| g.floor_rung),
         }
     }
 
-    fn left(&mut self, now: Instant, sess: SessionId, news: &mut Vec<News>, effects: &mut Vec<Effect>) {
-        let Some(hand) = self.hands.get_mut(sess) else { return };
-        if hand.left {
+    fn handle_viewer_left(
+        &mut self,
+        now: Instant,
+        session: SessionId,
+        events: &mut Vec<PolicyEvent>,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(state) = self.sessions.get_mut(session) else { return };
+        if state.viewer_left {
             return;
         }
-        hand.left = true;
-        if let Some(door) = &mut self.door {
-            if hand.at_door.is_some() {
-                // The module never heard of it.
-                door.left(sess);
-                self.hands.tally.left_unanswered += 1;
-                self.hands.remove(sess);
+        state.viewer_left = true;
+        if let Some(admission) = &mut self.admission {
+            if state.queued_request.is_some() {
+                // The policy doesn't know the session yet.
+                admission.left(session);
+                self.sessions.tally.left_unanswered += 1;
+                self.sessions.remove(session);
                 return;
             }
-            door.done(sess, Came::Other, now);
+            admission.done(session, Came::Other, now);
         }
-        let (unanswered, setups) = (!hand.answered, hand.setups);
-        news.push(News::Left(sess));
-        if let Some(node) = hand.plays_at {
-            effects.push(Effect::ReleaseSession { session: sess });
-            news.push(News::Ended(
-                sess,
+        let (unanswered, setups) = (!state.answered, state.setup_count);
+        events.push(PolicyEvent::ViewerLeft(session));
+        if let Some(node) = state.playing_node {
+            effects.push(Effect::ReleaseSession { session });
+            events.push(PolicyEvent::AttemptEnded(
+                session,
                 SetupNumber(setups.saturating_sub(1)),
                 node,
                 AttemptOutcome::Played,
                 true,
             ));
-            self.hands.remove(sess);
-        } else if hand.out.is_none() {
-            self.hands.remove(sess);
+            self.sessions.remove(session);
+        } else if state.pending_setup.is_none() {
+            self.sessions.remove(session);
         }
-        self.hands.tally.left_unanswered += u64::from(unanswered);
+        self.sessions.tally.left_unanswered += u64::from(unanswered);
     }
 
-    fn started(
+    fn handle_setup_accepted(
         &mut self,
-        sess: SessionId,
+        session: SessionId,
         setup: SetupNumber,
         load: Option<LoadReport>,
-        news: &mut Vec<News>,
+        events: &mut Vec<PolicyEvent>,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(out) = self.out_mut(sess, setup) else {
-            // Its ending was told by ourselves: nobody waits for it.
-            self.hands.tally.too_late += 1;
-            effects.push(Effect::ReleaseSession { session: sess });
+        let Some(pending) = self.pending_setup_mut(session, setup) else {
+            // The engine has already counted the SETUP as failed.
+            self.sessions.tally.too_late += 1;
+            effects.push(Effect::ReleaseSession { session });
             return;
         };
-        let (node, start) = (out.node, out.started());
+        let (node, acceptance) = (pending.node, pending.accepted());
         if let Some(load) = load {
-            news.push(News::Load(node, load));
+            events.push(PolicyEvent::NodeLoad(node, load));
         }
-        match start {
-            setups::Start::TooLate(how) => {
-                self.hands.tally.too_late += 1;
-                effects.push(Effect::ReleaseSession { session: sess });
-                self.ended(sess, setup, node, how, news);
-            }
-            setups::Start::Plays => {
-                let Some(hand) = self.hands.get_mut(sess) else { return };
-                let rung = hand.rung;
-                self.missing.forget(node, hand.title);
-                (hand.out, hand.plays_at) = (None, Some(node));
-                self.hands.tally.started += 1;
-                self.seen.push(SetupResult { node, failure: None });
-                news.push(News::Started(sess, setup, node));
-                let answer = SessionResponse::Plays { rung };
-                if self.hands.answer(sess, &answer) {
-                    effects.push(Effect::Respond { session: sess, response: answer });
+        match acceptance {
+            Acceptance::TooLate(outcome) => {
+                self.sessions.tally.too_late += 1;
+                effects.push(Effect::ReleaseSession { session });
+                self.finish_setup(session, setup, node, outcome, events);
+            }
+            Acceptance::Plays => {
+                let Some(state) = self.sessions.get_mut(session) else { return };
+                let rung = state.rung;
+                self.missing_titles.forget(node, state.title);
+                (state.pending_setup, state.playing_node) = (None, Some(node));
+                self.sessions.tally.started += 1;
+                self.setup_results.push(SetupResult { node, failure: None });
+                events.push(PolicyEvent::SetupAccepted(session, setup, node));
+                let response = SessionResponse::Plays { rung };
+                if self.sessions.record_response(session, &response) {
+                    effects.push(Effect::Respond { session, response });
                 } else {
-                    // The guard has answered already, or the viewer is gone.
-                    effects.push(Effect::ReleaseSession { session: sess });
-                    news.push(News::Left(sess));
-                    news.push(News::Ended(sess, setup, node, AttemptOutcome::Cancelled, true));
-                    self.hands.remove(sess);
+                    // The request was answered at its response deadline, or the viewer has left.
+                    effects.push(Effect::ReleaseSession { session });
+                    events.push(PolicyEvent::ViewerLeft(session));
+                    events.push(PolicyEvent::AttemptEnded(
+                        session,
+                        setup,
+                        node,
+                        AttemptOutcome::Cancelled,
+                        true,
+                    ));
+                    self.sessions.remove(session);
                 }
             }
         }
     }
 
-    /// The SETUP that was out has ended.
-    fn ended(
+    /// Records the outcome of the pending SETUP.
+    fn finish_setup(
         &mut self,
-        sess: SessionId,
+        session: SessionId,
         setup: SetupNumber,
         node: NodeId,
-        how: AttemptOutcome,
-        news: &mut Vec<News>,
+        outcome: AttemptOutcome,
+        events: &mut Vec<PolicyEvent>,
     ) {
-        let Some(hand) = self.hands.get_mut(sess) else { return };
-        hand.out = None;
-        let over = hand.left || hand.answered;
+        let Some(state) = self.sessions.get_mut(session) else { return };
+        state.pending_setup = None;
+        let over = state.viewer_left || state.answered;
         if over {
-            self.hands.remove(sess);
+            self.sessions.remove(session);
         }
-        let kind = match how {
+        let index = match outcome {
             AttemptOutcome::Full => 0,
             AttemptOutcome::Unreachable => 1,
             AttemptOutcome::Unsent => 2,
@@ -546,105 +610,118 @@
             AttemptOutcome::Lost => 5,
             AttemptOutcome::Cancelled | AttemptOutcome::Played => 6,
         };
-        self.hands.tally.endings[kind] += 1;
-        self.seen.push(SetupResult { node, failure: Some(how) });
-        news.push(News::Ended(sess, setup, node, how, over));
+        self.sessions.tally.endings[index] += 1;
+        self.setup_results.push(SetupResult { node, failure: Some(outcome) });
+        events.push(PolicyEvent::AttemptEnded(session, setup, node, outcome, over));
     }
 
-    /// A SETUP came to nothing for want of the title: that it never ran is as sure as if it had not been sent, and it says
-    /// nothing of the node's health.
-    fn not_held(&mut self, sess: SessionId, setup: SetupNumber, node: NodeId, news: &mut Vec<News>) {
-        let gave_up =
-            self.out_mut(sess, setup).is_some_and(|out| out.withdrawn == Some(Withdrawn::ViewerLeft));
-        let how = if gave_up { AttemptOutcome::Cancelled } else { AttemptOutcome::Unsent };
-        self.ended(sess, setup, node, how, news);
+    /// Records that the pending SETUP failed because its node doesn't hold the title. This proves that nothing ran, as
+    /// if the SETUP had not been sent, and says nothing about the node's health.
+    fn finish_without_title(
+        &mut self,
+        session: SessionId,
+        setup: SetupNumber,
+        node: NodeId,
+        events: &mut Vec<PolicyEvent>,
+    ) {
+        let viewer_left = self
+            .pending_setup_mut(session, setup)
+            .is_some_and(|pending| pending.cancelled == Some(CancelReason::ViewerLeft));
+        let outcome = if viewer_left { AttemptOutcome::Cancelled } else { AttemptOutcome::Unsent };
+        self.finish_setup(session, setup, node, outcome, events);
     }
 
-    fn due(&mut self, now: Instant, timer: Timer, news: &mut Vec<News>, effects: &mut Vec<Effect>) {
+    fn handle_timer(
+        &mut self,
+        now: Instant,
+        timer: Timer,
+        events: &mut Vec<PolicyEvent>,
+        effects: &mut Vec<Effect>,
+    ) {
         match timer {
-            // The door is looked at in every round.
-            Timer::Door => self.door_due = None,
-            Timer::Wake(ticket) => news.push(News::Woke(ticket)),
-            Timer::Setup(sess, setup) => {
-                let Some(out) = self.out_mut(sess, setup) else { return };
-                if out.withdraw(Withdrawn::OutOfTime) {
-                    effects.push(Effect::CancelSetup { session: sess, setup, if_unsent: false });
+            // Every round polls the admission queue, so the timer only has to cause a round.
+            Timer::Admission => self.admission_due = None,
+            Timer::Policy(timer) => events.push(PolicyEvent::TimerFired(timer)),
+            Timer::SetupDeadline(session, setup) => {
+                let Some(pending) = self.pending_setup_mut(session, setup) else { return };
+                if pending.cancel(CancelReason::DeadlineExpired) {
+                    effects.push(Effect::CancelSetup { session, setup, if_unsent: false });
                 }
-                // The shell tells in a moment what was written; it is not waited for beyond a part of the
-                // margin that the answer has left.
-                self.timers.at(now + self.start.answer_margin * 0.25, Timer::Withdrawn(sess, setup));
-            }
-            Timer::Withdrawn(sess, setup) => {
-                if let Some(out) = self.out_mut(sess, setup) {
-                    let (node, how) = (out.node, out.ending(AttemptOutcome::Silent));
-                    self.hands.tally.untold += 1;
-                    self.ended(sess, setup, node, how, news);
+                // The I/O layer reports within moments whether anything was written. Waiting for it is limited to a
+                // part of the answer margin, so that the response is still in time.
+                self.timers
+                    .schedule(now + self.config.answer_margin * 0.25, Timer::CancelGrace(session, setup));
+            }
+            Timer::CancelGrace(session, setup) => {
+                if let Some(pending) = self.pending_setup_mut(session, setup) {
+                    let (node, outcome) = (pending.node, pending.effective_outcome(AttemptOutcome::Silent));
+                    self.sessions.tally.untold += 1;
+                    self.finish_setup(session, setup, node, outcome, events);
                 }
             }
-            Timer::Answer(sess) => {
-                let waits =
-                    self.hands.get(sess).is_some_and(|h| !h.answered && !h.left && h.answer_by <= now);
+            Timer::ResponseDeadline(session) => {
+                let waits = self.sessions.get(session).is_some_and(|state| {
+                    !state.answered && !state.viewer_left && state.response_deadline <= now
+                });
                 if waits {
-                    self.hands.tally.guarded += 1;
-                    if self.hands.get(sess).is_some_and(|hand| hand.at_door.is_none()) {
-                        news.push(News::Left(sess));
-                    } else if let Some(door) = &mut self.door {
-                        door.left(sess);
+                    self.sessions.tally.guarded += 1;
+                    if self.sessions.get(session).is_some_and(|state| state.queued_request.is_none()) {
+                        events.push(PolicyEvent::ViewerLeft(session));
+                    } else if let Some(admission) = &mut self.admission {
+                        admission.left(session);
                     }
-                    let out = self.hands.get_mut(sess).and_then(|hand| hand.out.as_mut());
-                    if let Some(out) = out
-                        && out.withdraw(Withdrawn::ViewerLeft)
+                    let pending =
+                        self.sessions.get_mut(session).and_then(|state| state.pending_setup.as_mut());
+                    if let Some(pending) = pending
+                        && pending.cancel(CancelReason::ViewerLeft)
                     {
                         effects.push(Effect::CancelSetup {
-                            session: sess,
-                            setup: out.setup,
+                            session,
+                            setup: pending.number,
                             if_unsent: false,
                         });
                     }
-                    if self.hands.answer(sess, &SessionResponse::TornDown) {
-                        effects.push(Effect::Respond { session: sess, response: SessionResponse::TornDown });
+                    if self.sessions.record_response(session, &SessionResponse::TornDown) {
+                        effects.push(Effect::Respond { session, response: SessionResponse::TornDown });
                     }
                 }
             }
-            Timer::Spared(sess, setup) => {
-                if let Some(node) = self.out_mut(sess, setup).map(|out| out.node) {
-                    self.not_held(sess, setup, node, news);
+            Timer::TitleMissing(session, setup) => {
+                if let Some(node) = self.pending_setup_mut(session, setup).map(|pending| pending.node) {
+                    self.finish_without_title(session, setup, node, events);
                 }
             }
-            Timer::Probe(probe) => {
+            Timer::ProbeTimeout(probe) => {
                 if let Some(node) = self.probes.remove(&probe) {
-                    news.push(News::Probed(node, false));
+                    events.push(PolicyEvent::ProbeFinished(node, false));
                 }
             }
-            Timer::Notes => {
-                self.missing.tidy(now);
-                news.extend(self.notes.take().map(|(node, share)| News::Delivered(node, share)));
-                self.timers.at(now + Span::from_secs(NOTES_EVERY), Timer::Notes);
+            Timer::DeliveryReport => {
+                self.missing_titles.remove_expired(now);
+                events
+                    .extend(self.delivery.take().map(|(node, share)| PolicyEvent::NodeDelivery(node, share)));
+                self.timers
+                    .schedule(now + Span::from_secs(DELIVERY_REPORT_INTERVAL_SECONDS), Timer::DeliveryReport);
             }
         }
     }
 }
 
-fn viewing(want: ViewerRequest, patience: Span) -> SessionRequest {
-    let ViewerRequest { group, title, top_rung: top, first_cell: home, cell_count: copies, .. } = want;
-    SessionRequest {
-        group,
-        title,
-        top_rung: top,
-        first_cell: home,
-        cell_count: copies,
-        setup_timeout: patience,
-    }
+/// Returns the request as the policy takes it, with the time that is left of the setup timeout.
+fn policy_request(request: ViewerRequest, setup_timeout: Span) -> SessionRequest {
+    let ViewerRequest { group, title, top_rung, first_cell, cell_count, .. } = request;
+    SessionRequest { group, title, top_rung, first_cell, cell_count, setup_timeout }
 }
 
-fn tell(round: &mut Round, roster: &Roster, news: &News) {
-    match *news {
-        News::Turns(ref ours, of) => round.set_slow_start_turns(ours, of),
-        News::Repeats(most, span) => round.set_retry_limit_per_node(most, span),
-        News::Doubted(ref nodes) => round.set_suspected_nodes(nodes),
-        News::List => {
+/// Reports one event to the policy.
+fn report(round: &mut Round, membership: &Roster, event: &PolicyEvent) {
+    match *event {
+        PolicyEvent::SlowStartTurns(ref owned, total) => round.set_slow_start_turns(owned, total),
+        PolicyEvent::RetryLimitPerNode(limit, window) => round.set_retry_limit_per_node(limit, window),
+        PolicyEvent::SuspectedNodes(ref nodes) => round.set_suspected_nodes(nodes),
+        PolicyEvent::Snapshot => {
             round.begin_list_snapshot();
-            for (&node, entry) in roster.nodes() {
+            for (&node, entry) in membership.nodes() {
                 match entry.standing {
                     Standing::Ready => round.node_ready(node, entry.place),
                     Standing::Draining | Standing::Gone => round.node_draining(node),
@@ -652,32 +729,34 @@
             }
             round.finish_list();
         }
-        News::Told(whole, ref nodes) => {
-            if whole {
+        PolicyEvent::Update(full, ref nodes) => {
+            if full {
                 round.begin_list_snapshot();
             } else {
                 round.begin_list_update();
             }
-            for told in nodes {
-                match told.status {
-                    messages::NodeStatus::Ready(place) => round.node_ready(told.node, place),
-                    messages::NodeStatus::Draining => round.node_draining(told.node),
-                    messages::NodeStatus::Gone => round.node_removed(told.node),
+            for update in nodes {
+                match update.status {
+                    NodeStatus::Ready(info) => round.node_ready(update.node, info),
+                    NodeStatus::Draining => round.node_draining(update.node),
+                    NodeStatus::Gone => round.node_removed(update.node),
                 }
             }
             round.finish_list();
         }
-        News::WentOn(node) => round.node_kept_running(node),
-        News::UnderWay(sess, want, node) => round.session_handed_over(sess, want, node),
-        News::Asked(sess, want) => round.session_requested(sess, want),
-        News::Left(sess) => round.viewer_left(sess),
-        News::Started(sess, setup, node) => round.session_started(sess, setup, node),
-        News::Ended(sess, setup, node, how, complete) => {
-            round.attempt_ended(sess, setup, node, how, complete)
+        PolicyEvent::NodeKeptRunning(node) => round.node_kept_running(node),
+        PolicyEvent::SessionHandedOver(session, request, node) => {
+            round.session_handed_over(session, request, node)
+        }
+        PolicyEvent::SessionRequested(session, request) => round.session_requested(session, request),
+        PolicyEvent::ViewerLeft(session) => round.viewer_left(session),
+        PolicyEvent::SetupAccepted(session, setup, node) => round.session_started(session, setup, node),
+        PolicyEvent::AttemptEnded(session, setup, node, outcome, over) => {
+            round.attempt_ended(session, setup, node, outcome, over)
         }
-        News::Stays(sess, rung) => round.session_rung_reported(sess, rung),
-        News::Delivered(node, share) => round.delivery_reported(node, share),
-        News::Load(node, load) => {
+        PolicyEvent::RungUnchanged(session, rung) => round.session_rung_reported(session, rung),
+        PolicyEvent::NodeDelivery(node, share) => round.delivery_reported(node, share),
+        PolicyEvent::NodeLoad(node, load) => {
             if let Some(link) = load.link {
                 round.link_demand_reported(node, link);
             }
@@ -685,7 +764,7 @@
                 round.uplink_demand_reported(node, uplink);
             }
         }
-        News::Probed(node, answered) => round.probe_finished(node, answered),
-        News::Woke(ticket) => round.timer_fired(ticket),
+        PolicyEvent::ProbeFinished(node, answered) => round.probe_finished(node, answered),
+        PolicyEvent::TimerFired(timer) => round.timer_fired(timer),
     }
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,33 +1,33 @@
-//! One director between the module and the world. [`Engine::round`] takes what has come in since the last round
-//! and gives back what is to be done; there is no I/O, no clock and no thread in it, so the running director, a
-//! replay and an emulator drive the same code, and one recorded run of inputs gives the same effects byte for byte.
+//! The state machine of one director. [`Engine::round`] takes the inputs that arrived since the last round and returns
+//! the effects to carry out. It does no I/O, reads no clock and starts no thread, so the running director, a replay and
+//! the emulator drive the same code, and a recorded sequence of inputs yields the same effects byte for byte.
 //!
-//! Who plays, where and at which rung is decided by the module (`ashglade::policy`), which is hosted here through
-//! its `Writer`. What the engine holds itself is what the module trusts its host with:
+//! The policy ([`ashglade::policy`]) decides which session plays, on which node and at which rung. The engine hosts it
+//! through [`ashglade::interface::DecisionSink`] and enforces what the policy relies on its host for:
 //!
-//! - a SETUP ends by the time it was given, and exactly one ending is told for it ([`setups`]);
-//! - a request has exactly one answer, before its setup timeout whatever happens ([`answers`]);
-//! - an answer that comes after its SETUP was given up does not leak a session at the node;
-//! - nothing not yet sent goes to a node that has been told as draining;
-//! - what nodes deliver is summed up once a second ([`notes`]);
-//! - sessions in hand are bounded.
+//! - each SETUP ends by its deadline, and exactly one outcome is reported for it ([`setups`]);
+//! - each request gets exactly one response, before its setup timeout in all cases ([`sessions`]);
+//! - a node that accepts a SETUP after it was cancelled is told to release the session, so none leaks there;
+//! - no unsent SETUP goes to a node that is reported as draining;
+//! - the delivery ratios of sessions are summed per node once a second ([`delivery`]);
+//! - the number of concurrent sessions is bounded.
 
-pub mod answers;
-mod desk;
+mod decision_sink;
+pub mod delivery;
 mod engine;
 pub mod messages;
-pub mod notes;
 pub mod record;
+pub mod sessions;
 pub mod setups;
 pub mod timers;
 
-pub use answers::Tally;
 pub use ashglade_admission::{Terms as AdmissionConfig, Turned, View as AdmissionStatus};
 pub use engine::{Engine, EngineConfig, SetupResult};
 pub use messages::{
     BusyReason, Effect, Input, LeaseExpiry, LoadReport, NodeStatus, NodeUpdate, SessionResponse,
     ViewerRequest,
 };
+pub use sessions::Tally;
 
 #[cfg(test)]
 mod tests;
--- a/crates/engine/src/messages.rs
+++ b/crates/engine/src/messages.rs
@@ -1,4 +1,6 @@
-//! What goes into a round and what comes out of it. Fronts and shells know these words, never the module's insides.
+//! Inputs and effects of the engine. They are the whole interface between the engine and the I/O layers that drive it,
+//! and are recorded as JSON (see [`crate::record`]), where variants and fields keep the names given by the `rename`
+//! attributes.
 
 use ashglade::ids::{CellId, GroupId, NodeId, Rung, SessionId, SetupNumber, TitleId};
 use ashglade::interface::{AttemptOutcome, NodeInfo};
@@ -7,7 +9,7 @@
 use ashglade_discovery::List;
 use serde::{Deserialize, Serialize};
 
-/// What a viewer asks for.
+/// A viewer's request for a session.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ViewerRequest {
     pub group: GroupId,
@@ -15,29 +17,33 @@
     /// The highest rung that the viewer can use.
     #[serde(rename = "top")]
     pub top_rung: Rung,
-    /// First of the cells in a row that hold the title, and how many.
+    /// First of the consecutive cells whose nodes hold the title.
     #[serde(rename = "home")]
     pub first_cell: CellId,
+    /// Number of those cells.
     #[serde(rename = "copies")]
     pub cell_count: u16,
-    /// From now, how long until the viewer gives up.
+    /// The time after which the viewer gives up, counted from the request.
     pub setup_timeout: Span,
-    /// By its place among the tenants of the settings; 0 for the others.
+    /// Index of the tenant in the settings; 0 for requests of no listed tenant.
     #[serde(default)]
     pub tenant: usize,
-    /// Whoever asks: the door is fair between clients.
+    /// Identifies the client. Admission is fair between clients.
     pub client: u64,
 }
 
-/// What a node tells of its load: link, uplink, streams, each where told.
+/// Load that a node reports. Values that the node doesn't report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
+    /// Rate demanded of the node's link, as a fraction of its capacity.
     pub link: Option<f64>,
+    /// The same for the uplink of the node's rack.
     pub uplink: Option<f64>,
+    /// Number of streams that run or are being set up.
     pub streams: Option<f64>,
 }
 
-/// A media node as a numbered event tells of it.
+/// State of one node in a [`Input::DiscoveryUpdate`].
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeUpdate {
     pub node: NodeId,
@@ -45,27 +51,29 @@
     pub status: NodeStatus,
 }
 
+/// Whether a node takes sessions.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum NodeStatus {
     Ready(NodeInfo),
     Draining,
-    /// What is held of it may go; it may come back, as a new one.
+    /// All state of the node may be discarded. If it comes back, it counts as a new node.
     Gone,
 }
 
+/// An event that the I/O layer reports to the engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Input {
-    /// A whole box list, as it was read.
+    /// A complete node list, as it was read.
     #[serde(rename = "List")]
     DiscoverySnapshot(List),
-    /// What a numbered event tells of nodes: all of them, or those that changed. It is in force as it is told.
+    /// Nodes from a numbered discovery event: all nodes where `full`, else those that changed. Takes effect at once.
     #[serde(rename = "Told")]
     DiscoveryUpdate {
         #[serde(rename = "whole")]
         full: bool,
         nodes: Vec<NodeUpdate>,
     },
-    /// A session that plays already is handed over; nobody is owed an answer. The node may be unknown here.
+    /// Another director hands over a session that already plays. It needs no response, and its node may be unknown.
     #[serde(rename = "UnderWay")]
     SessionHandedOver {
         #[serde(rename = "sess")]
@@ -74,7 +82,7 @@
         request: ViewerRequest,
         node: NodeId,
     },
-    /// A viewer asks for a session. `sess` is new.
+    /// A viewer requests a session. `session` is a new id.
     #[serde(rename = "Asked")]
     SessionRequested {
         #[serde(rename = "sess")]
@@ -82,13 +90,13 @@
         #[serde(rename = "want")]
         request: ViewerRequest,
     },
-    /// The viewer gave up, ended the session or was lost.
+    /// The viewer gave up, ended the session or lost its connection.
     #[serde(rename = "Left")]
     ViewerLeft {
         #[serde(rename = "sess")]
         session: SessionId,
     },
-    /// From here on a SETUP may have run: its first byte is about to be written.
+    /// The first byte of the SETUP is about to be written. From here on the node may have run it.
     #[serde(rename = "Written")]
     SetupWritten {
         #[serde(rename = "sess")]
@@ -103,7 +111,7 @@
         setup: SetupNumber,
         load: Option<LoadReport>,
     },
-    /// The SETUP came to nothing. NodeUpdate exactly once for each SETUP that did not start.
+    /// The SETUP failed. Reported exactly once for each SETUP that the node did not accept.
     #[serde(rename = "Ended")]
     SetupFailed {
         #[serde(rename = "sess")]
@@ -113,7 +121,7 @@
         outcome: AttemptOutcome,
         load: Option<LoadReport>,
     },
-    /// The node doesn't hold the title, and set nothing up. NodeUpdate in place of an ending.
+    /// The node doesn't hold the title and set nothing up. Reported instead of [`Input::SetupFailed`].
     #[serde(rename = "Missing")]
     TitleMissing {
         #[serde(rename = "sess")]
@@ -121,7 +129,7 @@
         setup: SetupNumber,
         load: Option<LoadReport>,
     },
-    /// A session that played is over at its node.
+    /// A playing session has ended at its node.
     #[serde(rename = "Over")]
     SessionEnded {
         #[serde(rename = "sess")]
@@ -129,32 +137,32 @@
         #[serde(rename = "how")]
         outcome: AttemptOutcome,
     },
-    /// The rung in force at the node, where a change of rung did not come about.
+    /// A rung change failed; `rung` is the one still in force at the node.
     #[serde(rename = "Stays")]
     RungUnchanged {
         #[serde(rename = "sess")]
         session: SessionId,
         rung: Rung,
     },
-    /// The share of what was due that a playing session got since the last word of it.
+    /// The part of its due data that a playing session received since the last report, from 0 to 1.
     #[serde(rename = "Flow")]
     SessionDelivery {
         #[serde(rename = "sess")]
         session: SessionId,
         share: f64,
     },
-    /// What failed at this node was not its end: its process is shown to be the one that it was.
+    /// The process of the node is proven to be the same as before, so a failure there was not a restart.
     #[serde(rename = "WentOn")]
     NodeKeptRunning { node: NodeId },
-    /// The share of their rates that sessions at this node get, as the node itself tells it.
+    /// The part of their rates that the sessions at this node get, as the node itself reports it, from 0 to 1.
     #[serde(rename = "Delivered")]
     NodeDelivery { node: NodeId, share: f64 },
     #[serde(rename = "Load")]
     NodeLoad { node: NodeId, load: LoadReport },
-    /// A probe's answer, or none.
+    /// A probe was answered with this load, or failed.
     #[serde(rename = "Probed")]
     ProbeResult { probe: u64, load: Option<LoadReport> },
-    /// Which turns at cold nodes are this director's, of so many in all.
+    /// The turns at nodes in slow start that this director owns, out of `total` in the fleet.
     #[serde(rename = "Turns")]
     SlowStartTurns {
         #[serde(rename = "ours")]
@@ -164,7 +172,7 @@
         #[serde(rename = "lapse", default, skip_serializing_if = "Option::is_none")]
         lease_expiry: Option<LeaseExpiry>,
     },
-    /// So many further SETUPs may go to one node within the span: this director's part of the fleet's bound.
+    /// Number of retried SETUPs that this director may send to one node within `window`: its part of the fleet's limit.
     #[serde(rename = "Repeats")]
     RetryLimitPerNode {
         #[serde(rename = "most")]
@@ -174,15 +182,15 @@
         #[serde(rename = "lapse", default, skip_serializing_if = "Option::is_none")]
         lease_expiry: Option<LeaseExpiry>,
     },
-    /// Nodes that are tried last, by what other directors found.
+    /// Nodes that the reports of other directors make suspect. They are tried last.
     #[serde(rename = "Doubted")]
     SuspectedNodes { nodes: Vec<NodeId> },
-    /// Takes nothing new from here on.
+    /// Refuse all new sessions from here on.
     Drain,
 }
 
-/// When a lease of what is shared is over, and how many of it are left then. A director that stood still must not go on
-/// by what it held before.
+/// When the leases on a shared resource expire and how much of it the director owns afterwards. The engine applies it
+/// itself, so that a director resuming after a pause doesn't use leases that have expired meanwhile.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseExpiry {
     pub at: Instant,
@@ -190,36 +198,39 @@
     pub retained: usize,
 }
 
-/// Why a request is busy-replied.
+/// Why a request gets a busy reply. Variants are logged under their own names.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BusyReason {
-    /// The module found no room for it within its attempts and budget.
+    /// The policy found no node with room within the request's attempts and the retry budget.
     #[default]
     NoRoom,
-    /// As many sessions are in hand as there may be.
+    /// The director has reached its session limit.
     TooManySessions,
+    /// The director drains.
     Draining,
-    /// The door did not let it in.
+    /// The admission queue rejected the request.
     Door(Turned),
 }
 
-/// The one answer to a request.
+/// The one response to a request. Variants and fields are logged under their own names.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum SessionResponse {
-    Plays {
-        rung: Rung,
-    },
+    /// The session plays at this rung.
+    Plays { rung: Rung },
+    /// A busy reply: nothing runs for the request, and the viewer may retry, not before `retry_after` if it is given.
     Busy {
         retry_after: Option<Span>,
         #[serde(default)]
         why: BusyReason,
     },
+    /// The request has failed, and a SETUP of it may have run at a node.
     TornDown,
 }
 
+/// An action that the I/O layer carries out for the engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Effect {
-    /// Send this SETUP to the node and tell how it ended, by `until` or when it is withdrawn.
+    /// Send a SETUP to the node and report its outcome by `deadline`, or as soon as it is cancelled.
     #[serde(rename = "Setup")]
     SendSetup {
         #[serde(rename = "sess")]
@@ -230,7 +241,7 @@
         #[serde(rename = "until")]
         deadline: Instant,
     },
-    /// Give the SETUP up and tell how it ended; where `if_unsent`, only if not a byte of it was written.
+    /// Abort the SETUP and report its outcome. With `if_unsent`, only if no byte of it has been written.
     #[serde(rename = "Withdraw")]
     CancelSetup {
         #[serde(rename = "sess")]
@@ -238,6 +249,7 @@
         setup: SetupNumber,
         if_unsent: bool,
     },
+    /// Send the response to the viewer's request.
     #[serde(rename = "Answer")]
     Respond {
         #[serde(rename = "sess")]
@@ -245,34 +257,35 @@
         #[serde(rename = "answer")]
         response: SessionResponse,
     },
-    /// A playing session changes its rung.
+    /// Switch a playing session to another rung.
     #[serde(rename = "Rung")]
     ChangeRung {
         #[serde(rename = "sess")]
         session: SessionId,
         rung: Rung,
     },
-    /// Tear the session down at its node, if it is there; nobody holds it here any longer.
+    /// Tear the session down at its node if it exists there. The engine no longer tracks it.
     #[serde(rename = "Release")]
     ReleaseSession {
         #[serde(rename = "sess")]
         session: SessionId,
     },
-    /// A playing session is sent back: over here and at its node, and its viewer comes again.
+    /// End a playing session here and at its node so that the viewer requests a new one.
     #[serde(rename = "SendBack")]
     ReconnectViewer {
         #[serde(rename = "sess")]
         session: SessionId,
     },
+    /// Ask the node for its load and report the result under this number.
     #[serde(rename = "Probe")]
     SendProbe { probe: u64, node: NodeId },
-    /// A list was taken, with the generation now in force, or left out and why.
+    /// A discovery snapshot was applied, or rejected for this reason. `generation` is the one now in force.
     #[serde(rename = "Listed")]
     DiscoveryResult {
         generation: u64,
         #[serde(rename = "refused")]
         rejection: Option<String>,
     },
-    /// Nothing is in hand any longer, and nothing new is taken.
+    /// The engine drains and its last session has ended.
     Drained,
 }
--- a/crates/engine/src/record.rs
+++ b/crates/engine/src/record.rs
@@ -1,5 +1,6 @@
-//! A director's rounds as JSON lines, one a round: when, what came in, what came out. Played again on a fresh
-//! engine with the same settings they must give the same effects; the first that doesn't is named.
+//! Recording and replay of an engine's rounds. A record is a file of JSON lines: a header, then one line per round with
+//! its time, inputs and effects. Replayed on a new engine with the same configuration, the inputs must yield the same
+//! effects; [`replay`] reports the first line that differs.
 
 use ashglade::time::Instant;
 use serde::{Deserialize, Serialize};
@@ -7,6 +8,7 @@
 use crate::engine::{Engine, EngineConfig};
 use crate::messages::{Effect, Input};
 
+/// One round of a record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RecordedRound {
     pub at: Instant,
@@ -16,44 +18,52 @@
     pub effects: Vec<Effect>,
 }
 
-/// The first line of a record: when the engine started.
+/// The first line of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RecordHeader {
+    /// When the engine was started.
     pub started: Instant,
 }
 
+/// Why a record can't be replayed.
 #[derive(Debug, thiserror::Error)]
 pub enum ReplayError {
-    #[error("line {line}: {what}")]
-    Malformed { line: usize, what: String },
-    #[error("line {line}: recorded {recorded}, now {now}")]
-    Differs { line: usize, recorded: String, now: String },
+    /// A line can't be parsed. Lines count from 1.
+    #[error("line {line}: {reason}")]
+    Malformed { line: usize, reason: String },
+    /// The replay yields other effects than the record holds.
+    #[error("line {line}: recorded {recorded}, replayed {replayed}")]
+    Mismatch { line: usize, recorded: String, replayed: String },
 }
 
-/// Plays a record again; the number of rounds and effects that came out the same. A last line that was cut short,
-/// as by a kill, is passed over.
-pub fn replay(start: EngineConfig, text: &str) -> Result<(usize, usize), ReplayError> {
+/// Replays a record and returns the number of rounds and effects replayed. An incomplete last line, as a killed process
+/// leaves, is ignored.
+pub fn replay(config: EngineConfig, text: &str) -> Result<(usize, usize), ReplayError> {
     let mut lines = text.split_inclusive('\n').enumerate();
-    let bad =
-        |line: usize, e: serde_json::Error| ReplayError::Malformed { line: line + 1, what: e.to_string() };
+    let malformed =
+        |line: usize, e: serde_json::Error| ReplayError::Malformed { line: line + 1, reason: e.to_string() };
     let Some((_, first)) = lines.next() else {
-        return Err(ReplayError::Malformed { line: 1, what: "the record is empty".into() });
+        return Err(ReplayError::Malformed { line: 1, reason: "the record is empty".into() });
     };
-    let head: RecordHeader = serde_json::from_str(first).map_err(|e| bad(0, e))?;
-    let mut engine = Engine::new(start, head.started);
+    let header: RecordHeader = serde_json::from_str(first).map_err(|e| malformed(0, e))?;
+    let mut engine = Engine::new(config, header.started);
     let (mut rounds, mut effects) = (0, 0);
     for (i, text) in lines {
-        let line: RecordedRound = match serde_json::from_str(text) {
-            Ok(line) => line,
+        let round: RecordedRound = match serde_json::from_str(text) {
+            Ok(round) => round,
             Err(_) if !text.ends_with('\n') => break,
-            Err(e) => return Err(bad(i, e)),
+            Err(e) => return Err(malformed(i, e)),
         };
-        let now = engine.round(line.at, line.inputs);
-        let text = |effects: &[Effect]| serde_json::to_string(effects).unwrap_or_default();
-        if text(&now) != text(&line.effects) {
-            return Err(ReplayError::Differs { line: i + 1, recorded: text(&line.effects), now: text(&now) });
+        let replayed = engine.round(round.at, round.inputs);
+        let json = |effects: &[Effect]| serde_json::to_string(effects).unwrap_or_default();
+        if json(&replayed) != json(&round.effects) {
+            return Err(ReplayError::Mismatch {
+                line: i + 1,
+                recorded: json(&round.effects),
+                replayed: json(&replayed),
+            });
         }
-        (rounds, effects) = (rounds + 1, effects + now.len());
+        (rounds, effects) = (rounds + 1, effects + replayed.len());
     }
     Ok((rounds, effects))
 }
--- a/crates/engine/src/setups.rs
+++ b/crates/engine/src/setups.rs
@@ -1,85 +1,90 @@
-//! One SETUP from the module's word to its ending. Rule 2 rests on two things kept here: a session has one SETUP
-//! out at most, and an ending that proves that nothing ran is told only where the shell proved it.
+//! The life of one SETUP attempt, from the policy's decision to its outcome. Two invariants keep a session from being
+//! set up twice: a session has at most one SETUP pending, and the policy is told that nothing ran at the node only
+//! where the I/O layer proved it.
 //!
-//! | it was | the shell tells | the module hears |
+//! | state of the SETUP | the I/O layer reports | the policy is told |
 //! | --- | --- | --- |
-//! | let run | how it ended | the same |
-//! | out of time | nothing was written, no connection | `Unreachable` |
-//! | out of time | anything that does not prove it unsent | `Silent` |
-//! | out of time | that it started | `Silent`; released at the node |
-//! | out of time | nothing at all within the grace | `Silent` |
-//! | given up by the viewer | that it was not sent | `Unsent` |
-//! | given up by the viewer | anything else | `Cancelled` |
-//! | recalled, as its node drains | that it was not sent | `Unsent` |
+//! | not cancelled | an outcome | the same outcome |
+//! | deadline expired | nothing was written, no connection | `Unreachable` |
+//! | deadline expired | anything that does not prove it unsent | `Silent` |
+//! | deadline expired | that the node accepted it | `Silent`; the session is released at the node |
+//! | deadline expired | nothing within the grace period | `Silent` |
+//! | viewer left | that it was not sent | `Unsent` |
+//! | viewer left | anything else | `Cancelled` |
+//! | node draining | that it was not sent | `Unsent` |
 
 use ashglade::ids::{NodeId, Rung, SetupNumber};
 use ashglade::interface::AttemptOutcome;
 use ashglade::time::Instant;
 
-/// Why a SETUP is no longer wanted.
+/// Why a SETUP was cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Withdrawn {
-    OutOfTime,
+pub enum CancelReason {
+    DeadlineExpired,
     ViewerLeft,
-    /// Its node drains; it goes on if a byte was written.
-    Recalled,
+    /// The node drains. The SETUP continues if a byte of it was written.
+    NodeDraining,
 }
 
+/// A SETUP whose outcome is not known yet.
 #[derive(Clone, Debug)]
-pub struct Out {
-    pub setup: SetupNumber,
+pub struct PendingSetup {
+    pub number: SetupNumber,
     pub node: NodeId,
     pub rung: Rung,
-    pub until: Instant,
-    /// A byte of it may be on the wire.
+    pub deadline: Instant,
+    /// A byte of it may have been sent.
     pub written: bool,
-    pub withdrawn: Option<Withdrawn>,
+    pub cancelled: Option<CancelReason>,
 }
 
-/// What an answer of 200 comes to.
+/// What becomes of a SETUP that the node accepted with 200.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Start {
+pub enum Acceptance {
     Plays,
-    /// Nobody wants it any longer: it is torn down at the node, and counts as this.
+    /// The SETUP was cancelled before: the session is torn down at the node and the attempt counts as this outcome.
     TooLate(AttemptOutcome),
 }
 
-impl Out {
-    pub fn new(setup: SetupNumber, node: NodeId, rung: Rung, until: Instant) -> Out {
-        Out { setup, node, rung, until, written: false, withdrawn: None }
+impl PendingSetup {
+    pub fn new(number: SetupNumber, node: NodeId, rung: Rung, deadline: Instant) -> PendingSetup {
+        PendingSetup { number, node, rung, deadline, written: false, cancelled: None }
     }
 
-    /// True if the shell is to be told, as it has not been yet.
-    pub fn withdraw(&mut self, why: Withdrawn) -> bool {
-        // A viewer's leaving and the end of time weigh more than a recall, which may come to nothing.
-        let first = matches!(self.withdrawn, None | Some(Withdrawn::Recalled));
+    /// Cancels the SETUP. Returns true if the I/O layer still has to be told.
+    pub fn cancel(&mut self, reason: CancelReason) -> bool {
+        // A cancellation for a draining node may have no effect, so the other two reasons override it.
+        let first = matches!(self.cancelled, None | Some(CancelReason::NodeDraining));
         if first {
-            self.withdrawn = Some(why);
+            self.cancelled = Some(reason);
         }
         first
     }
 
-    pub fn started(&self) -> Start {
-        match self.withdrawn {
-            None | Some(Withdrawn::Recalled) => Start::Plays,
-            Some(Withdrawn::OutOfTime) => Start::TooLate(AttemptOutcome::Silent),
-            Some(Withdrawn::ViewerLeft) => Start::TooLate(AttemptOutcome::Cancelled),
+    /// Decides whether a session that the node has just accepted is still wanted.
+    pub fn accepted(&self) -> Acceptance {
+        match self.cancelled {
+            None | Some(CancelReason::NodeDraining) => Acceptance::Plays,
+            Some(CancelReason::DeadlineExpired) => Acceptance::TooLate(AttemptOutcome::Silent),
+            Some(CancelReason::ViewerLeft) => Acceptance::TooLate(AttemptOutcome::Cancelled),
         }
     }
 
-    /// What the module hears of an ending. Unsent and unreachable are believed only while nothing was written.
-    pub fn ending(&self, told: AttemptOutcome) -> AttemptOutcome {
-        let unsent = matches!(told, AttemptOutcome::Unsent | AttemptOutcome::Unreachable) && !self.written;
-        match (self.withdrawn, told) {
-            _ if unsent => told,
-            (Some(Withdrawn::ViewerLeft), _) => AttemptOutcome::Cancelled,
+    /// Translates the reported outcome into the one that the policy is told. `Unsent` and `Unreachable` hold only
+    /// while no byte was written.
+    pub fn effective_outcome(&self, reported: AttemptOutcome) -> AttemptOutcome {
+        let unsent =
+            matches!(reported, AttemptOutcome::Unsent | AttemptOutcome::Unreachable) && !self.written;
+        match (self.cancelled, reported) {
+            _ if unsent => reported,
+            (Some(CancelReason::ViewerLeft), _) => AttemptOutcome::Cancelled,
             (
-                Some(Withdrawn::OutOfTime),
+                Some(CancelReason::DeadlineExpired),
                 AttemptOutcome::Full | AttemptOutcome::Fault | AttemptOutcome::Lost,
-            ) => told,
-            (Some(Withdrawn::OutOfTime), _) => AttemptOutcome::Silent,
+            ) => reported,
+            (Some(CancelReason::DeadlineExpired), _) => AttemptOutcome::Silent,
             (_, AttemptOutcome::Unsent | AttemptOutcome::Unreachable) => AttemptOutcome::Lost,
-            _ => told,
+            _ => reported,
         }
     }
 }
--- a/crates/engine/src/timers.rs
+++ b/crates/engine/src/timers.rs
@@ -1,43 +1,49 @@
-//! What is due when. Entries that have become moot are not searched for: they are recognised when due.
+//! Timer queue of the engine. Timers are never cancelled: one that no longer applies is recognized and ignored when
+//! it fires.
 
 use std::collections::BTreeSet;
 
 use ashglade::ids::{SessionId, SetupNumber, TimerId};
 use ashglade::time::Instant;
 
+/// What to do when a timer fires. Timers of the same instant fire in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// The module asked to be woken.
-    Wake(TimerId),
-    /// A SETUP has had its time.
-    Setup(SessionId, SetupNumber),
-    /// A SETUP was withdrawn and its ending has not been told.
-    Withdrawn(SessionId, SetupNumber),
-    /// A request must have its answer by now.
-    Answer(SessionId),
-    /// It goes to a node that doesn't hold the title: never sent.
-    Spared(SessionId, SetupNumber),
-    Probe(u64),
-    /// The door is looked at.
-    Door,
-    /// Delivered shares are summed up.
-    Notes,
+    /// A timer that the policy set.
+    Policy(TimerId),
+    /// The deadline of a SETUP has passed.
+    SetupDeadline(SessionId, SetupNumber),
+    /// The outcome of a cancelled SETUP is no longer waited for.
+    CancelGrace(SessionId, SetupNumber),
+    /// A request must have its response by now.
+    ResponseDeadline(SessionId),
+    /// A SETUP was not sent because its node is known not to hold the title.
+    TitleMissing(SessionId, SetupNumber),
+    /// A probe has timed out.
+    ProbeTimeout(u64),
+    /// The admission queue asked to be polled.
+    Admission,
+    /// Delivery ratios are reported to the policy.
+    DeliveryReport,
 }
 
+/// Timers ordered by the instant at which they fire.
 #[derive(Debug, Default)]
-pub struct Timers(BTreeSet<(Instant, Timer)>);
+pub struct TimerQueue(BTreeSet<(Instant, Timer)>);
 
-impl Timers {
-    pub fn at(&mut self, at: Instant, timer: Timer) {
+impl TimerQueue {
+    /// Adds a timer that fires at `at`.
+    pub fn schedule(&mut self, at: Instant, timer: Timer) {
         self.0.insert((at, timer));
     }
 
-    pub fn next(&self) -> Option<Instant> {
+    /// Returns when the next timer fires.
+    pub fn next_deadline(&self) -> Option<Instant> {
         self.0.first().map(|&(at, _)| at)
     }
 
-    /// Takes the earliest that is due, those of one moment in a fixed order.
-    pub fn pop(&mut self, now: Instant) -> Option<Timer> {
+    /// Removes and returns the earliest timer that is due. Timers of the same instant come in a fixed order.
+    pub fn pop_due(&mut self, now: Instant) -> Option<Timer> {
         let &(at, timer) = self.0.first()?;
         (at <= now).then(|| {
             self.0.pop_first();
@@ -45,7 +51,8 @@
         })
     }
 
-    /// How many wait: bounded by sessions in hand, probes out and the module's tickets.
+    /// Returns the number of pending timers, which is bounded by the sessions, the outstanding probes and the timers
+    /// that the policy set.
     pub fn len(&self) -> usize {
         self.0.len()
     }
