--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -1,10 +1,10 @@
-//! Titles that nodes were found not to hold although the catalogue lists them there. A node that answers a SETUP with
-//! 404 states that nothing runs (RFC 2326, 7.1.1 and 11.3.1) and says nothing about its health. The answer holds for
-//! that title alone, until the node restarts or a session of the title plays there, and at most for a fixed time,
-//! because nodes are filled without the director being told.
+//! Titles that nodes were found not to hold although the catalogue lists them there. A node that answers a
+//! SETUP with 404 states that nothing runs (RFC 2326, 7.1.1 and 11.3.1) and says nothing about its health.
+//! The answer holds for that title alone, until the node restarts or a session of the title plays there, and
+//! at most for a fixed time, because nodes are filled without the director being told.
 //!
-//! The number of entries is bounded. At the limit the oldest entry is evicted, which costs one more 404. The table does
-//! no I/O, reads no clock and starts no thread.
+//! The number of entries is bounded. At the limit the oldest entry is evicted, which costs one more 404. The
+//! table does no I/O, reads no clock and starts no thread.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/engine/src/delivery.rs
+++ b/crates/engine/src/delivery.rs
@@ -1,6 +1,6 @@
-//! Sums what the playing sessions of each node receive into one delivery ratio per node, which the policy uses to step
-//! sessions down the ladder. Ratios are weighted by the rate of each session's rung, because a link fills by rate and
-//! not by session count.
+//! Sums what the playing sessions of each node receive into one delivery ratio per node, which the policy
+//! uses to step sessions down the ladder. Ratios are weighted by the rate of each session's rung, because a
+//! link fills by rate and not by session count.
 
 use std::collections::BTreeMap;
 
@@ -14,8 +14,8 @@
 }
 
 impl DeliveryTotals {
-    /// Adds a session that expects `rate` kB/s from `node` and received the part `share` of it, limited to 0 to 1.
-    /// Shares that are not finite are ignored.
+    /// Adds a session that expects `rate` kB/s from `node` and received the part `share` of it, limited to 0
+    /// to 1. Shares that are not finite are ignored.
     pub fn add(&mut self, node: NodeId, rate: f64, share: f64) {
         if share.is_finite() && rate > 0.0 {
             let sum = self.rates.entry(node).or_default();
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -156,8 +156,8 @@
         &self.membership
     }
 
-    /// Runs one round: handles the inputs in order, then the timers that are due, then lets the policy decide once.
-    /// Returns the effects in the order in which they have to be carried out.
+    /// Runs one round: handles the inputs in order, then the timers that are due, then lets the policy decide
+    /// once. Returns the effects in the order in which they have to be carried out.
     pub fn round(&mut self, now: Instant, inputs: Vec<Input>) -> Vec<Effect> {
         let mut effects = Vec::new();
         let mut events = Vec::new();
@@ -166,8 +166,8 @@
             self.handle_input(now, input, &mut events, &mut effects);
         }
         self.expire_leases(now, &mut events);
-        // Inputs come before timers: after a pause of the process, an outcome that arrived meanwhile counts rather
-        // than the timeout it would have met.
+        // Inputs come before timers: after a pause of the process, an outcome that arrived meanwhile counts
+        // rather than the timeout it would have met.
         while let Some(timer) = self.timers.pop_due(now) {
             self.handle_timer(now, timer, &mut events, &mut effects);
         }
@@ -216,8 +216,8 @@
                 Verdict::In { sess, .. } => {
                     let Some(state) = self.sessions.get_mut(sess) else { continue };
                     let Some(request) = state.queued_request.take() else { continue };
-                    // The rest of the setup timeout, less the full answer margin: the response deadline has only half
-                    // of the margin deducted.
+                    // The rest of the setup timeout, less the full answer margin: the response deadline has
+                    // only half of the margin deducted.
                     let remaining = state.response_deadline - self.config.answer_margin * 0.5 - now;
                     events.push(PolicyEvent::SessionRequested(sess, policy_request(request, remaining)));
                 }
@@ -417,8 +417,8 @@
         effects.push(Effect::DiscoveryResult { generation, rejection });
     }
 
-    /// Cancels unsent SETUPs to nodes that are no longer ready. While they wait for a connection, the node's drain
-    /// grace period may end. SETUPs of which a byte was written continue.
+    /// Cancels unsent SETUPs to nodes that are no longer ready. While they wait for a connection, the node's
+    /// drain grace period may end. SETUPs of which a byte was written continue.
     fn cancel_unsent(&mut self, ready: impl Fn(NodeId) -> bool, effects: &mut Vec<Effect>) {
         for (session, state) in self.sessions.iter_mut() {
             let Some(pending) = &mut state.pending_setup else { continue };
@@ -477,7 +477,8 @@
         SessionState {
             group: request.group,
             title: request.title,
-            // Half of the margin allows for the time that the outcome of the last SETUP takes to reach the policy.
+            // Half of the margin allows for the time that the outcome of the last SETUP takes to reach the
+            // policy.
             response_deadline: now + request.setup_timeout - self.config.answer_margin * 0.5,
             answered: false,
             viewer_left: false,
@@ -615,8 +616,8 @@
         events.push(PolicyEvent::AttemptEnded(session, setup, node, outcome, over));
     }
 
-    /// Records that the pending SETUP failed because its node doesn't hold the title. This proves that nothing ran, as
-    /// if the SETUP had not been sent, and says nothing about the node's health.
+    /// Records that the pending SETUP failed because its node doesn't hold the title. This proves that
+    /// nothing ran, as if the SETUP had not been sent, and says nothing about the node's health.
     fn finish_without_title(
         &mut self,
         session: SessionId,
@@ -647,8 +648,8 @@
                 if pending.cancel(CancelReason::DeadlineExpired) {
                     effects.push(Effect::CancelSetup { session, setup, if_unsent: false });
                 }
-                // The I/O layer reports within moments whether anything was written. Waiting for it is limited to a
-                // part of the answer margin, so that the response is still in time.
+                // The I/O layer reports within moments whether anything was written. Waiting for it is
+                // limited to a part of the answer margin, so that the response is still in time.
                 self.timers
                     .schedule(now + self.config.answer_margin * 0.25, Timer::CancelGrace(session, setup));
             }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,9 +1,11 @@
-//! The state machine of one director. [`Engine::round`] takes the inputs that arrived since the last round and returns
-//! the effects to carry out. It does no I/O, reads no clock and starts no thread, so the running director, a replay and
-//! the emulator drive the same code, and a recorded sequence of inputs yields the same effects byte for byte.
+//! The state machine of one director. [`Engine::round`] takes the inputs that arrived since the last round
+//! and returns the effects to carry out. It does no I/O, reads no clock and starts no thread, so the running
+//! director, a replay and the emulator drive the same code, and a recorded sequence of inputs yields the same
+//! effects byte for byte.
 //!
-//! The policy ([`ashglade::policy`]) decides which session plays, on which node and at which rung. The engine hosts it
-//! through [`ashglade::interface::DecisionSink`] and enforces what the policy relies on its host for:
+//! The policy ([`ashglade::policy`]) decides which session plays, on which node and at which rung. The engine
+//! hosts it through [`ashglade::interface::DecisionSink`] and enforces what the policy relies on its host
+//! for:
 //!
 //! - each SETUP ends by its deadline, and exactly one outcome is reported for it ([`setups`]);
 //! - each request gets exactly one response, before its setup timeout in all cases ([`sessions`]);
--- a/crates/engine/src/messages.rs
+++ b/crates/engine/src/messages.rs
@@ -1,6 +1,6 @@
-//! Inputs and effects of the engine. They are the whole interface between the engine and the I/O layers that drive it,
-//! and are recorded as JSON (see [`crate::record`]), where variants and fields keep the names given by the `rename`
-//! attributes.
+//! Inputs and effects of the engine. They are the whole interface between the engine and the I/O layers that
+//! drive it, and are recorded as JSON (see [`crate::record`]), where variants and fields keep the names given
+//! by the `rename` attributes.
 
 use ashglade::ids::{CellId, GroupId, NodeId, Rung, SessionId, SetupNumber, TitleId};
 use ashglade::interface::{AttemptOutcome, NodeInfo};
@@ -66,14 +66,16 @@
     /// A complete node list, as it was read.
     #[serde(rename = "List")]
     DiscoverySnapshot(List),
-    /// Nodes from a numbered discovery event: all nodes where `full`, else those that changed. Takes effect at once.
+    /// Nodes from a numbered discovery event: all nodes where `full`, else those that changed. Takes effect
+    /// at once.
     #[serde(rename = "Told")]
     DiscoveryUpdate {
         #[serde(rename = "whole")]
         full: bool,
         nodes: Vec<NodeUpdate>,
     },
-    /// Another director hands over a session that already plays. It needs no response, and its node may be unknown.
+    /// Another director hands over a session that already plays. It needs no response, and its node may be
+    /// unknown.
     #[serde(rename = "UnderWay")]
     SessionHandedOver {
         #[serde(rename = "sess")]
@@ -154,7 +156,8 @@
     /// The process of the node is proven to be the same as before, so a failure there was not a restart.
     #[serde(rename = "WentOn")]
     NodeKeptRunning { node: NodeId },
-    /// The part of their rates that the sessions at this node get, as the node itself reports it, from 0 to 1.
+    /// The part of their rates that the sessions at this node get, as the node itself reports it, from 0 to
+    /// 1.
     #[serde(rename = "Delivered")]
     NodeDelivery { node: NodeId, share: f64 },
     #[serde(rename = "Load")]
@@ -172,7 +175,8 @@
         #[serde(rename = "lapse", default, skip_serializing_if = "Option::is_none")]
         lease_expiry: Option<LeaseExpiry>,
     },
-    /// Number of retried SETUPs that this director may send to one node within `window`: its part of the fleet's limit.
+    /// Number of retried SETUPs that this director may send to one node within `window`: its part of the
+    /// fleet's limit.
     #[serde(rename = "Repeats")]
     RetryLimitPerNode {
         #[serde(rename = "most")]
@@ -189,8 +193,9 @@
     Drain,
 }
 
-/// When the leases on a shared resource expire and how much of it the director owns afterwards. The engine applies it
-/// itself, so that a director resuming after a pause doesn't use leases that have expired meanwhile.
+/// When the leases on a shared resource expire and how much of it the director owns afterwards. The engine
+/// applies it itself, so that a director resuming after a pause doesn't use leases that have expired
+/// meanwhile.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseExpiry {
     pub at: Instant,
@@ -217,7 +222,8 @@
 pub enum SessionResponse {
     /// The session plays at this rung.
     Plays { rung: Rung },
-    /// A busy reply: nothing runs for the request, and the viewer may retry, not before `retry_after` if it is given.
+    /// A busy reply: nothing runs for the request, and the viewer may retry, not before `retry_after` if it
+    /// is given.
     Busy {
         retry_after: Option<Span>,
         #[serde(default)]
--- a/crates/engine/src/record.rs
+++ b/crates/engine/src/record.rs
@@ -1,6 +1,6 @@
-//! Recording and replay of an engine's rounds. A record is a file of JSON lines: a header, then one line per round with
-//! its time, inputs and effects. Replayed on a new engine with the same configuration, the inputs must yield the same
-//! effects; [`replay`] reports the first line that differs.
+//! Recording and replay of an engine's rounds. A record is a file of JSON lines: a header, then one line per
+//! round with its time, inputs and effects. Replayed on a new engine with the same configuration, the inputs
+//! must yield the same effects; [`replay`] reports the first line that differs.
 
 use ashglade::time::Instant;
 use serde::{Deserialize, Serialize};
@@ -36,8 +36,8 @@
     Mismatch { line: usize, recorded: String, replayed: String },
 }
 
-/// Replays a record and returns the number of rounds and effects replayed. An incomplete last line, as a killed process
-/// leaves, is ignored.
+/// Replays a record and returns the number of rounds and effects replayed. An incomplete last line, as a
+/// killed process leaves, is ignored.
 pub fn replay(config: EngineConfig, text: &str) -> Result<(usize, usize), ReplayError> {
     let mut lines = text.split_inclusive('\n').enumerate();
     let malformed =
--- a/crates/engine/src/sessions.rs
+++ b/crates/engine/src/sessions.rs
@@ -1,6 +1,6 @@
-//! Table of the sessions that the engine tracks. The policy decides the response to each request; this module ensures
-//! that the viewer gets exactly one, and gets it before giving up even if the policy decides nothing or the I/O layer
-//! never reports an outcome.
+//! Table of the sessions that the engine tracks. The policy decides the response to each request; this module
+//! ensures that the viewer gets exactly one, and gets it before giving up even if the policy decides nothing
+//! or the I/O layer never reports an outcome.
 
 use std::collections::BTreeMap;
 
@@ -59,7 +59,8 @@
     pub too_late: u64,
     /// Responses sent only by the response deadline. Any other value than 0 is a bug in the director.
     pub guarded: u64,
-    /// SETUPs that the policy asked for while one was pending; they are not sent. Any other value than 0 is a bug.
+    /// SETUPs that the policy asked for while one was pending; they are not sent. Any other value than 0 is a
+    /// bug.
     pub doubled: u64,
     /// SETUPs whose outcome the I/O layer never reported.
     pub untold: u64,
@@ -113,8 +114,8 @@
         self.sessions.iter_mut().map(|(&id, state)| (id, state))
     }
 
-    /// Records the response to a request. Returns true if it is the first one and the viewer is still there to get
-    /// it. Removes a session that neither plays nor has a SETUP pending.
+    /// Records the response to a request. Returns true if it is the first one and the viewer is still there
+    /// to get it. Removes a session that neither plays nor has a SETUP pending.
     pub fn record_response(&mut self, id: SessionId, response: &SessionResponse) -> bool {
         let Some(state) = self.sessions.get_mut(&id) else { return false };
         let first = !state.answered && !state.viewer_left;
--- a/crates/engine/src/setups.rs
+++ b/crates/engine/src/setups.rs
@@ -1,6 +1,6 @@
-//! The life of one SETUP attempt, from the policy's decision to its outcome. Two invariants keep a session from being
-//! set up twice: a session has at most one SETUP pending, and the policy is told that nothing ran at the node only
-//! where the I/O layer proved it.
+//! The life of one SETUP attempt, from the policy's decision to its outcome. Two invariants keep a session
+//! from being set up twice: a session has at most one SETUP pending, and the policy is told that nothing ran
+//! at the node only where the I/O layer proved it.
 //!
 //! | state of the SETUP | the I/O layer reports | the policy is told |
 //! | --- | --- | --- |
@@ -42,7 +42,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Acceptance {
     Plays,
-    /// The SETUP was cancelled before: the session is torn down at the node and the attempt counts as this outcome.
+    /// The SETUP was cancelled before: the session is torn down at the node and the attempt counts as this
+    /// outcome.
     TooLate(AttemptOutcome),
 }
 
@@ -70,8 +71,8 @@
         }
     }
 
-    /// Translates the reported outcome into the one that the policy is told. `Unsent` and `Unreachable` hold only
-    /// while no byte was written.
+    /// Translates the reported outcome into the one that the policy is told. `Unsent` and `Unreachable` hold
+    /// only while no byte was written.
     pub fn effective_outcome(&self, reported: AttemptOutcome) -> AttemptOutcome {
         let unsent =
             matches!(reported, AttemptOutcome::Unsent | AttemptOutcome::Unreachable) && !self.written;
--- a/crates/engine/src/tests.rs
+++ b/crates/engine/src/tests.rs
@@ -332,8 +332,8 @@
     let mut harness = Harness::new(RetrySafety::Safe);
     harness.request(1000.0, 1);
     harness.round(1001.0, vec![written(0)]);
-    // The director is paused until 2.2 s, past the deadline. The response to session 1 arrived meanwhile; that to
-    // session 2 never arrives.
+    // The director is paused until 2.2 s, past the deadline. The response to session 1 arrived meanwhile;
+    // that to session 2 never arrives.
     harness.round(
         2200.0,
         vec![accepted(0), Input::SessionRequested { session: SessionId(2), request: viewer_request() }],
@@ -375,8 +375,9 @@
     assert_eq!((harness.engine.session_count() <= 40, tally.over_bound >= 20, tally.asked), (true, true, 60));
 }
 
-/// A simulated I/O layer that behaves as badly as is allowed: outcomes come late, twice or never, nodes accept SETUPs
-/// that were cancelled, viewers leave at any time, node lists drain nodes and bring them back, and rounds pause.
+/// A simulated I/O layer that behaves as badly as is allowed: outcomes come late, twice or never, nodes
+/// accept SETUPs that were cancelled, viewers leave at any time, node lists drain nodes and bring them back,
+/// and rounds pause.
 struct Simulation {
     random: oorandom::Rand64,
     /// By session: number of responses, whether the viewer has left, time of the request in ms.
@@ -435,8 +436,8 @@
         }
         let round =
             record::RecordedRound { at: Instant::from_ms(now), inputs: std::mem::take(&mut inputs), effects };
-        // The outcome of a cancelled SETUP is reported now or never. The engine must not send another one before it
-        // counts this one as ended, by when the I/O layer has closed its connection.
+        // The outcome of a cancelled SETUP is reported now or never. The engine must not send another one
+        // before it counts this one as ended, by when the I/O layer has closed its connection.
         for effect in &round.effects {
             if let Effect::CancelSetup { session, setup, if_unsent } = effect
                 && let Some((number, written)) = simulation.pending.get(session).copied()
@@ -604,7 +605,8 @@
     harness.run_until(1020.0);
     // A viewer leaves the queue; the policy never learns of its session.
     harness.round(1030.0, vec![Input::ViewerLeft { session: SessionId(3) }]);
-    // The SETUP of session 2 gets no response. Session 4 waits half its start target and then gets a busy reply.
+    // The SETUP of session 2 gets no response. Session 4 waits half its start target and then gets a busy
+    // reply.
     harness.run_until(1600.0);
     harness.trace += &format!("sessions {}\n", harness.engine.session_count());
     harness.assert_trace(expect![[r#"
@@ -618,8 +620,8 @@
     "#]]);
 }
 
-/// Guards against the use of an expired lease by a director that resumes after a pause, even in the first round and for
-/// requests that waited for it.
+/// Guards against the use of an expired lease by a director that resumes after a pause, even in the first
+/// round and for requests that waited for it.
 #[test]
 fn a_lease_that_expired_during_a_pause_is_not_used() {
     let traces = [2000.0, 9000.0].map(|resumes_ms| {
--- a/crates/engine/src/timers.rs
+++ b/crates/engine/src/timers.rs
@@ -1,5 +1,5 @@
-//! Timer queue of the engine. Timers are never cancelled: one that no longer applies is recognized and ignored when
-//! it fires.
+//! Timer queue of the engine. Timers are never cancelled: one that no longer applies is recognized and
+//! ignored when it fires.
 
 use std::collections::BTreeSet;
 
@@ -51,8 +51,8 @@
         })
     }
 
-    /// Returns the number of pending timers, which is bounded by the sessions, the outstanding probes and the timers
-    /// that the policy set.
+    /// Returns the number of pending timers, which is bounded by the sessions, the outstanding probes and the
+    /// timers that the policy set.
     pub fn len(&self) -> usize {
         self.0.len()
     }
--- a/crates/ledger/src/journal.rs
+++ b/crates/ledger/src/journal.rs
@@ -1,6 +1,6 @@
-//! Journal format of the ledger: JSON lines, one when a session becomes held and one when it is removed. A director that
-//! starts reads the sessions that its predecessor left open. An incomplete last line, as a killed process leaves, is
-//! ignored.
+//! Journal format of the ledger: JSON lines, one when a session becomes held and one when it is removed. A
+//! director that starts reads the sessions that its predecessor left open. An incomplete last line, as a
+//! killed process leaves, is ignored.
 
 use std::collections::BTreeMap;
 
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,19 +1,19 @@
-//! Ledger of the sessions that a director holds at nodes and of the tear-downs that are pending. A session that a node has
-//! set up and that no director uses takes a stream and link capacity until the node's session timeout, a minute by
-//! default (RFC 2326, 12.37). Therefore each session is recorded until the node is known to have ended it. A session
-//! lost with its connection or with the director itself is torn down later.
+//! Ledger of the sessions that a director holds at nodes and of the tear-downs that are pending. A session
+//! that a node has set up and that no director uses takes a stream and link capacity until the node's session
+//! timeout, a minute by default (RFC 2326, 12.37). Therefore each session is recorded until the node is known
+//! to have ended it. A session lost with its connection or with the director itself is torn down later.
 //!
 //! | session | state |
 //! | --- | --- |
 //! | set up at a node | held |
 //! | torn down, confirmed by the node | removed |
-//! | connection lost, or TEARDOWN not answered | pending: torn down on a new connection, retried with backoff |
+//! | connection lost or TEARDOWN unanswered | pending: torn down on a new connection, with backoff |
 //! | held when the director stopped | pending at the next director that reads the journal |
 //! | node restarted since, or its session timeout passed | removed |
 //!
-//! The ledger does no I/O, reads no clock and starts no thread. The pending tear-downs of a node share one exponential
-//! backoff with seeded jitter, so a node that is down gets one attempt at a time even if fifty sessions were lost with it.
-//! The number of sessions is bounded.
+//! The ledger does no I/O, reads no clock and starts no thread. The pending tear-downs of a node share one
+//! exponential backoff with seeded jitter, so a node that is down gets one attempt at a time even if fifty
+//! sessions were lost with it. The number of sessions is bounded.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -44,8 +44,7 @@
     pub max_backoff: Span,
     /// Maximum number of tear-downs in flight to one node.
     pub max_in_flight_per_node: usize,
-    /// Maximum number of sessions in the ledger. Beyond it the pending tear-downs with the lowest session ids are
-    /// dropped and counted.
+    /// Maximum number of sessions in the ledger. Beyond it the oldest pending tear-downs are dropped and counted.
     pub max_sessions: usize,
 }
 
@@ -174,7 +173,8 @@
         }
     }
 
-    /// Schedules the tear-down of a session that an earlier director held when it stopped, as read from its journal.
+    /// Schedules the tear-down of a session that an earlier director held when it stopped, as read from its
+    /// journal.
     pub fn schedule_inherited(&mut self, session: SessionId, held: HeldSession, now: Instant) {
         self.schedule(session, held, now);
     }
@@ -183,7 +183,8 @@
         self.tally.scheduled += 1;
         let node = held.node;
         self.pending.insert(session, PendingTeardown { held, since: now, in_flight: false });
-        // The first attempt is made soon, with jitter so that directors that lost the same node don't come at once.
+        // The first attempt is made soon, with jitter so that directors that lost the same node don't come at
+        // once.
         let at = now + self.policy.initial_backoff * self.random.rand_float();
         let backoff = self.policy.initial_backoff;
         let empty =
@@ -231,8 +232,8 @@
         self.due.first().map(|&(at, _)| at)
     }
 
-    /// Returns the tear-downs to attempt now, and the sessions removed because their node has dropped them by its own
-    /// timeout, so that the caller can remove them from the journal.
+    /// Returns the tear-downs to attempt now, and the sessions removed because their node has dropped them by
+    /// its own timeout, so that the caller can remove them from the journal.
     pub fn due_teardowns(&mut self, now: Instant) -> (Vec<Teardown>, Vec<SessionId>) {
         let (mut teardowns, mut expired) = (Vec::new(), Vec::new());
         while let Some(&(at, node)) = self.due.first().filter(|(at, _)| *at <= now) {
@@ -282,7 +283,8 @@
         } else {
             queue.failing = true;
             queue.waiting.push_back(session);
-            // Jitter of half a backoff either way, so that directors that failed together don't retry together.
+            // Jitter of half a backoff either way, so that directors that failed together don't retry
+            // together.
             let at = now + queue.backoff * (0.5 + self.random.rand_float());
             queue.backoff = (queue.backoff * 2.0).min(self.policy.max_backoff);
             at
@@ -291,8 +293,8 @@
         confirmed
     }
 
-    /// Removes the pending tear-downs of a node that restarted at `at`, as its earlier sessions are gone. Returns the
-    /// sessions that were removed.
+    /// Removes the pending tear-downs of a node that restarted at `at`, as its earlier sessions are gone.
+    /// Returns the sessions that were removed.
     pub fn node_started(&mut self, node: NodeId, at: Instant) -> Vec<SessionId> {
         let gone = |pending: &PendingTeardown| {
             pending.held.node == node && pending.since <= at && !pending.in_flight
--- a/crates/ledger/src/tests.rs
+++ b/crates/ledger/src/tests.rs
@@ -12,8 +12,8 @@
     Instant::from_ms(ms)
 }
 
-/// Runs the ledger until `until` ms against a node that confirms tear-downs from `up` ms on, each attempt taking 5 ms.
-/// Returns the times of the attempts.
+/// Runs the ledger until `until` ms against a node that confirms tear-downs from `up` ms on, each attempt
+/// taking 5 ms. Returns the times of the attempts.
 fn run(ledger: &mut Ledger, until: f64, up: f64) -> Vec<f64> {
     let mut attempts = Vec::new();
     let mut in_flight: Vec<(f64, SessionId)> = Vec::new();
