--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -6,9 +6,11 @@
 use ashglade::interface::{AttemptOutcome, DirectorConfig, SessionRequest};
 use ashglade::policy::{Director, Round};
 use ashglade::time::{Instant, Span};
-use ashglade_admission::{Came, Door, Request, Terms, Verdict};
+use ashglade_admission::{
+    AdmissionConfig, AdmissionController, AdmissionDecision, AdmissionRequest, SetupOutcome,
+};
 use ashglade_catalogue::MissingTitles;
-use ashglade_discovery::{List, Roster, Standing};
+use ashglade_discovery::{Membership, NodeList, NodeState};
 
 use crate::decision_sink::EffectSink;
 use crate::delivery::DeliveryTotals;
@@ -30,7 +32,7 @@
     /// Maximum number of concurrent sessions, including those being set up.
     pub max_sessions: usize,
     /// The admission queue; `None` admits all requests at once.
-    pub admission: Option<Terms>,
+    pub admission: Option<AdmissionConfig>,
 }
 
 /// Maximum number of remembered titles that nodes don't hold.
@@ -44,10 +46,10 @@
 pub struct Engine {
     policy: Director,
     config: EngineConfig,
-    membership: Roster,
+    membership: Membership,
     /// Nodes that the discovery updates so far report as ready.
     ready_nodes: BTreeSet<NodeId>,
-    admission: Option<Door>,
+    admission: Option<AdmissionController>,
     missing_titles: MissingTitles,
     sessions: SessionTable,
     timers: TimerQueue,
@@ -106,9 +108,9 @@
         timers.schedule(now + Span::from_secs(DELIVERY_REPORT_INTERVAL_SECONDS), Timer::DeliveryReport);
         Engine {
             policy: Director::new(&config.director, now),
-            admission: config.admission.clone().map(|config| Door::new(config, now)),
+            admission: config.admission.clone().map(|config| AdmissionController::new(config, now)),
             config,
-            membership: Roster::default(),
+            membership: Membership::default(),
             ready_nodes: BTreeSet::new(),
             missing_titles: MissingTitles::new(
                 MAX_MISSING_TITLES,
@@ -152,7 +154,7 @@
     }
 
     /// Returns the nodes that discovery has reported.
-    pub fn membership(&self) -> &Roster {
+    pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
@@ -211,20 +213,20 @@
     /// Passes admitted requests on to the policy and answers rejected ones.
     fn poll_admission(&mut self, now: Instant, events: &mut Vec<PolicyEvent>, effects: &mut Vec<Effect>) {
         let Some(admission) = &mut self.admission else { return };
-        for verdict in admission.round(now) {
-            match verdict {
-                Verdict::In { sess, .. } => {
-                    let Some(state) = self.sessions.get_mut(sess) else { continue };
+        for decision in admission.poll(now) {
+            match decision {
+                AdmissionDecision::Admit { session, .. } => {
+                    let Some(state) = self.sessions.get_mut(session) else { continue };
                     let Some(request) = state.queued_request.take() else { continue };
                     // The rest of the setup timeout, less the full answer margin: the response deadline has
                     // only half of the margin deducted.
                     let remaining = state.response_deadline - self.config.answer_margin * 0.5 - now;
-                    events.push(PolicyEvent::SessionRequested(sess, policy_request(request, remaining)));
+                    events.push(PolicyEvent::SessionRequested(session, policy_request(request, remaining)));
                 }
-                Verdict::Away { sess, retry_after, why } => {
-                    let response = SessionResponse::Busy { retry_after, why: BusyReason::Door(why) };
-                    if self.sessions.record_response(sess, &response) {
-                        effects.push(Effect::Respond { session: sess, response });
+                AdmissionDecision::Reject { session, retry_after, reason } => {
+                    let response = SessionResponse::Busy { retry_after, why: BusyReason::Door(reason) };
+                    if self.sessions.record_response(session, &response) {
+                        effects.push(Effect::Respond { session, response });
                     }
                 }
             }
@@ -237,14 +239,14 @@
         for effect in effects {
             if let Effect::Respond { session, response } = effect {
                 let outcome = match response {
-                    SessionResponse::Plays { .. } => Came::Plays,
-                    SessionResponse::Busy { .. } => Came::Busy,
-                    SessionResponse::TornDown => Came::Other,
+                    SessionResponse::Plays { .. } => SetupOutcome::Started,
+                    SessionResponse::Busy { .. } => SetupOutcome::Busy,
+                    SessionResponse::TornDown => SetupOutcome::Other,
                 };
-                admission.done(*session, outcome, now);
+                admission.complete(*session, outcome, now);
             }
         }
-        if let Some(at) = admission.next_due(now) {
+        if let Some(at) = admission.next_deadline(now) {
             // Without this check each round would schedule a timer of its own.
             if self.admission_due.is_none_or(|due| at < due) {
                 self.admission_due = Some(at);
@@ -254,7 +256,7 @@
     }
 
     /// Returns the admission queue, if one is configured.
-    pub fn admission(&self) -> Option<&Door> {
+    pub fn admission(&self) -> Option<&AdmissionController> {
         self.admission.as_ref()
     }
 
@@ -392,26 +394,26 @@
         self.sessions.get_mut(session)?.pending_setup.as_mut().filter(|pending| pending.number == setup)
     }
 
-    fn handle_snapshot(&mut self, list: List, events: &mut Vec<PolicyEvent>, effects: &mut Vec<Effect>) {
+    fn handle_snapshot(&mut self, list: NodeList, events: &mut Vec<PolicyEvent>, effects: &mut Vec<Effect>) {
         // A node that has restarted may hold other titles now.
         for entry in &list.entries {
-            let node = entry.node();
-            let known = self.membership.entry(node).map(|before| before.place.started);
-            if known.is_some_and(|before| before != entry.place.started) {
+            let node = entry.node_id();
+            let known = self.membership.entry(node).map(|before| before.info.started);
+            if known.is_some_and(|before| before != entry.info.started) {
                 self.missing_titles.node_started(node);
             }
         }
-        let rejection = match self.membership.offer(list) {
+        let rejection = match self.membership.update(list) {
             Ok(None) => return,
             Ok(Some(_)) => {
                 events.push(PolicyEvent::Snapshot);
                 let membership = std::mem::take(&mut self.membership);
-                let ready = |node| membership.entry(node).is_some_and(|e| e.standing == Standing::Ready);
+                let ready = |node| membership.entry(node).is_some_and(|e| e.state == NodeState::Ready);
                 self.cancel_unsent(ready, effects);
                 self.membership = membership;
                 None
             }
-            Err(refusal) => Some(refusal.to_string()),
+            Err(error) => Some(error.to_string()),
         };
         let generation = self.membership.list().map_or(0, |list| list.generation);
         effects.push(Effect::DiscoveryResult { generation, rejection });
@@ -460,7 +462,7 @@
                 let ViewerRequest { group, tenant, client, setup_timeout, .. } = request;
                 let start_target = group_config.start_target;
                 admission.offer(
-                    Request { sess: session, group, tenant, client, start_target, setup_timeout },
+                    AdmissionRequest { session, group, tenant, client, start_target, setup_timeout },
                     now,
                 );
                 SessionState { queued_request: Some(request), ..state }
@@ -510,12 +512,12 @@
         if let Some(admission) = &mut self.admission {
             if state.queued_request.is_some() {
                 // The policy doesn't know the session yet.
-                admission.left(session);
+                admission.cancel(session);
                 self.sessions.tally.left_unanswered += 1;
                 self.sessions.remove(session);
                 return;
             }
-            admission.done(session, Came::Other, now);
+            admission.complete(session, SetupOutcome::Other, now);
         }
         let (unanswered, setups) = (!state.answered, state.setup_count);
         events.push(PolicyEvent::ViewerLeft(session));
@@ -669,7 +671,7 @@
                     if self.sessions.get(session).is_some_and(|state| state.queued_request.is_none()) {
                         events.push(PolicyEvent::ViewerLeft(session));
                     } else if let Some(admission) = &mut self.admission {
-                        admission.left(session);
+                        admission.cancel(session);
                     }
                     let pending =
                         self.sessions.get_mut(session).and_then(|state| state.pending_setup.as_mut());
@@ -715,7 +717,7 @@
 }
 
 /// Reports one event to the policy.
-fn report(round: &mut Round, membership: &Roster, event: &PolicyEvent) {
+fn report(round: &mut Round, membership: &Membership, event: &PolicyEvent) {
     match *event {
         PolicyEvent::SlowStartTurns(ref owned, total) => round.set_slow_start_turns(owned, total),
         PolicyEvent::RetryLimitPerNode(limit, window) => round.set_retry_limit_per_node(limit, window),
@@ -723,9 +725,9 @@
         PolicyEvent::Snapshot => {
             round.begin_list_snapshot();
             for (&node, entry) in membership.nodes() {
-                match entry.standing {
-                    Standing::Ready => round.node_ready(node, entry.place),
-                    Standing::Draining | Standing::Gone => round.node_draining(node),
+                match entry.state {
+                    NodeState::Ready => round.node_ready(node, entry.info),
+                    NodeState::Draining | NodeState::Gone => round.node_draining(node),
                 }
             }
             round.finish_list();
--- a/crates/engine/src/messages.rs
+++ b/crates/engine/src/messages.rs
@@ -5,8 +5,8 @@
 use ashglade::ids::{CellId, GroupId, NodeId, Rung, SessionId, SetupNumber, TitleId};
 use ashglade::interface::{AttemptOutcome, NodeInfo};
 use ashglade::time::{Instant, Span};
-use ashglade_admission::Turned;
-use ashglade_discovery::List;
+use ashglade_admission::RejectReason;
+use ashglade_discovery::NodeList;
 use serde::{Deserialize, Serialize};
 
 /// A viewer's request for a session.
@@ -65,7 +65,7 @@
 pub enum Input {
     /// A complete node list, as it was read.
     #[serde(rename = "List")]
-    DiscoverySnapshot(List),
+    DiscoverySnapshot(NodeList),
     /// Nodes from a numbered discovery event: all nodes where `full`, else those that changed. Takes effect
     /// at once.
     #[serde(rename = "Told")]
@@ -214,7 +214,7 @@
     /// The director drains.
     Draining,
     /// The admission queue rejected the request.
-    Door(Turned),
+    Door(RejectReason),
 }
 
 /// The one response to a request. Variants and fields are logged under their own names.
--- a/crates/engine/src/tests.rs
+++ b/crates/engine/src/tests.rs
@@ -5,7 +5,7 @@
 use ashglade::ids::*;
 use ashglade::interface::*;
 use ashglade::time::{Instant, Span};
-use ashglade_discovery::{Entry, List, Standing, id_of};
+use ashglade_discovery::{NodeEntry, NodeList, NodeState, node_id};
 use expect_test::{Expect, expect};
 
 use super::*;
@@ -67,21 +67,21 @@
     ([127, 0, 0, 1], n).into()
 }
 
-fn snapshot(generation: u64, states: &[Standing]) -> Input {
-    let place =
+fn snapshot(generation: u64, states: &[NodeState]) -> Input {
+    let info =
         |n| NodeInfo { zone: ZoneId(0), model: ModelId(0), cell: CellId(n), weight: 1.0, started: None };
-    let entry = |(n, &standing): (usize, &Standing)| {
+    let entry = |(n, &state): (usize, &NodeState)| {
         let n = n as u16 + 1;
-        Entry {
+        NodeEntry {
             name: format!("n{n}"),
             address: address(n),
-            http: None,
+            http_address: None,
             id: None,
-            place: place(n - 1),
-            standing,
+            info: info(n - 1),
+            state,
         }
     };
-    Input::DiscoverySnapshot(List { generation, entries: states.iter().enumerate().map(entry).collect() })
+    Input::DiscoverySnapshot(NodeList { generation, entries: states.iter().enumerate().map(entry).collect() })
 }
 
 fn viewer_request() -> ViewerRequest {
@@ -143,9 +143,9 @@
 impl Harness {
     fn new(retry_safety: RetrySafety) -> Harness {
         let engine = Engine::new(config(retry_safety), Instant::from_ms(0.0));
-        let names = (1..=3).map(|n| (id_of(&address(n)), format!("n{n}"))).collect();
+        let names = (1..=3).map(|n| (node_id(&address(n)), format!("n{n}"))).collect();
         let mut harness = Harness { engine, names, trace: String::new() };
-        harness.round(0.0, vec![snapshot(1, &[Standing::Ready; 3])]);
+        harness.round(0.0, vec![snapshot(1, &[NodeState::Ready; 3])]);
         harness.trace.clear();
         harness
     }
@@ -209,9 +209,9 @@
     let (missing, spared) = (harness.engine.tally().missing, harness.engine.tally().spared);
     harness.trace += &format!("{missing} answered as missing, {spared} skipped\n");
     // The node has restarted, as the snapshot shows, and may hold the title now.
-    let mut restarted = snapshot(2, &[Standing::Ready; 3]);
+    let mut restarted = snapshot(2, &[NodeState::Ready; 3]);
     if let Input::DiscoverySnapshot(list) = &mut restarted {
-        list.entries.iter_mut().for_each(|entry| entry.place.started = Some(Instant::from_ms(1200.0)));
+        list.entries.iter_mut().for_each(|entry| entry.info.started = Some(Instant::from_ms(1200.0)));
     }
     harness.round(1200.0, vec![restarted]);
     for session in 6..9 {
@@ -276,16 +276,20 @@
 fn an_unsent_setup_to_a_draining_node_is_cancelled_and_sent_elsewhere() {
     let mut harness = Harness::new(RetrySafety::Fragile);
     harness.request(1000.0, 1);
-    let states: Vec<Standing> =
+    let states: Vec<NodeState> =
         (1..=3)
             .map(|n| {
-                if harness.trace.contains(&format!("at n{n}")) { Standing::Draining } else { Standing::Ready }
+                if harness.trace.contains(&format!("at n{n}")) {
+                    NodeState::Draining
+                } else {
+                    NodeState::Ready
+                }
             })
             .collect();
     harness.round(1050.0, vec![snapshot(2, &states)]);
     harness.round(1051.0, vec![failed(0, AttemptOutcome::Unsent)]);
     // A SETUP that was written continues although the node drains.
-    harness.round(1060.0, vec![written(1), snapshot(3, &[Standing::Draining; 3])]);
+    harness.round(1060.0, vec![written(1), snapshot(3, &[NodeState::Draining; 3])]);
     harness.round(1070.0, vec![accepted(1)]);
     harness.assert_trace(expect![[r#"
         1000 ms: setup 1.0 at n1 rung 1 deadline 3800
@@ -394,11 +398,11 @@
     let admission = AdmissionConfig {
         seed: 2,
         groups: vec![(1.0, 1.0)],
-        tenants: vec![1.0],
-        target: Span::from_secs(1.0),
-        retry_after: config.director.max_retry_after,
-        most_waiting: 12,
-        hands: (2.0, 1.0, 4.0),
+        tenant_weights: vec![1.0],
+        min_start_target: Span::from_secs(1.0),
+        max_retry_after: config.director.max_retry_after,
+        max_waiting: 12,
+        concurrency_limits: (2.0, 1.0, 4.0),
     };
     EngineConfig { admission: Some(admission), ..config }
 }
@@ -416,7 +420,7 @@
     };
     let mut recorded_rounds = Vec::new();
     let (mut now, mut generation, mut next_session) = (0.0, 1, 1);
-    let mut inputs = vec![snapshot(1, &[Standing::Ready; 3])];
+    let mut inputs = vec![snapshot(1, &[NodeState::Ready; 3])];
     for index in 0..rounds {
         let effects = engine.round(Instant::from_ms(now), inputs.clone());
         for effect in &effects {
@@ -537,7 +541,7 @@
         if chance(&mut self.random, 0.02) {
             *generation += 1;
             let mut state = || {
-                [Standing::Ready, Standing::Ready, Standing::Draining, Standing::Gone]
+                [NodeState::Ready, NodeState::Ready, NodeState::Draining, NodeState::Gone]
                     [self.random.rand_range(0..4) as usize]
             };
             inputs.push(snapshot(*generation, &[state(), state(), state()]));
@@ -591,9 +595,9 @@
 #[test]
 fn requests_over_the_admission_limit_wait_and_are_answered_in_time() {
     let engine = Engine::new(with_admission(config(RetrySafety::Safe)), Instant::from_ms(0.0));
-    let names = (1..=3).map(|n| (id_of(&address(n)), format!("n{n}"))).collect();
+    let names = (1..=3).map(|n| (node_id(&address(n)), format!("n{n}"))).collect();
     let mut harness = Harness { engine, names, trace: String::new() };
-    harness.round(0.0, vec![snapshot(1, &[Standing::Ready; 3])]);
+    harness.round(0.0, vec![snapshot(1, &[NodeState::Ready; 3])]);
     harness.trace.clear();
     let request = |n: u64| Input::SessionRequested {
         session: SessionId(n),
