--- a/crates/engine/src/messages.rs
+++ b/crates/engine/src/messages.rs
@@ -74,8 +74,8 @@
         full: bool,
         nodes: Vec<NodeUpdate>,
     },
-    /// Another director hands over a session that already plays. It needs no response, and its node may be
-    /// unknown.
+    /// A session that already plays is handed over to this director. It needs no response, and its node may be
+    /// unknown here.
     #[serde(rename = "UnderWay")]
     SessionHandedOver {
         #[serde(rename = "sess")]
@@ -160,6 +160,7 @@
     /// 1.
     #[serde(rename = "Delivered")]
     NodeDelivery { node: NodeId, share: f64 },
+    /// The node reported its load.
     #[serde(rename = "Load")]
     NodeLoad { node: NodeId, load: LoadReport },
     /// A probe was answered with this load, or failed.
