--- a/crates/engine/src/messages.rs
+++ b/crates/engine/src/messages.rs
@@ -43,7 +43,7 @@
     pub streams: Option<f64>,
 }
 
-/// State of one node in a [`Input::DiscoveryUpdate`].
+/// State of one node in an [`Input::DiscoveryUpdate`].
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeUpdate {
     pub node: NodeId,
