--- a/crates/ledger/src/tests.rs
+++ b/crates/ledger/src/tests.rs
@@ -67,7 +67,7 @@
     let attempts = run(&mut ledger, 200_000.0, f64::INFINITY);
     let last = attempts.last().copied().unwrap_or_default();
     assert!(last < 61_000.0 + 8_000.0, "an attempt after the node's session timeout, at {last} ms");
-    expect!["[Sess(0), Sess(1)] 14 attempts (0, 0) LedgerTally { held: 4, scheduled: 4, attempts: 14, confirmed: 0, expired: 4, dropped: 0 }"].assert_eq(&format!("{removed:?} {} attempts {:?} {:?}", attempts.len(), ledger.len(), ledger.tally));
+    expect!["[SessionId(0), SessionId(1)] 14 attempts (0, 0) LedgerTally { held: 4, scheduled: 4, attempts: 14, confirmed: 0, expired: 4, dropped: 0 }"].assert_eq(&format!("{removed:?} {} attempts {:?} {:?}", attempts.len(), ledger.len(), ledger.tally));
 }
 
 #[test]
