--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -11,19 +11,19 @@
 pub struct Clock {
     started: tokio::time::Instant,
     /// Unix time at the start, in milliseconds.
-    epoch_ms: f64,
+    started_unix_ms: f64,
 }
 
 impl Clock {
     /// Creates a clock that shows the current wall-clock time.
     pub fn start() -> Clock {
-        let epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
-        Clock { started: tokio::time::Instant::now(), epoch_ms: epoch.as_secs_f64() * 1e3 }
+        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
+        Clock { started: tokio::time::Instant::now(), started_unix_ms: unix_time.as_secs_f64() * 1e3 }
     }
 
     /// Returns the current time of the engine.
     pub fn now(&self) -> Instant {
-        Instant::from_ms(self.epoch_ms + self.started.elapsed().as_secs_f64() * 1e3)
+        Instant::from_ms(self.started_unix_ms + self.started.elapsed().as_secs_f64() * 1e3)
     }
 
     /// Returns the time since the start, in microseconds.
@@ -32,8 +32,8 @@
     }
 
     /// Converts an engine time to tokio's clock. Times before the start become the start.
-    pub fn at(&self, at: Instant) -> tokio::time::Instant {
-        let after: Span = at - Instant::from_ms(self.epoch_ms);
-        self.started + Duration::from_secs_f64((after.as_ms() / 1e3).clamp(0.0, 1e9))
+    pub fn at(&self, time: Instant) -> tokio::time::Instant {
+        let since_start: Span = time - Instant::from_ms(self.started_unix_ms);
+        self.started + Duration::from_secs_f64((since_start.as_ms() / 1e3).clamp(0.0, 1e9))
     }
 }
