--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -27,12 +27,12 @@
     }
 
     /// Returns the time since the start, in microseconds.
-    pub fn micros(&self) -> u64 {
+    pub fn elapsed_micros(&self) -> u64 {
         self.started.elapsed().as_micros() as u64
     }
 
     /// Converts an engine time to tokio's clock. Times before the start become the start.
-    pub fn at(&self, time: Instant) -> tokio::time::Instant {
+    pub fn to_tokio(&self, time: Instant) -> tokio::time::Instant {
         let since_start: Span = time - Instant::from_ms(self.started_unix_ms);
         self.started + Duration::from_secs_f64((since_start.as_ms() / 1e3).clamp(0.0, 1e9))
     }
--- a/crates/director/src/attempt.rs
+++ b/crates/director/src/attempt.rs
@@ -120,7 +120,7 @@
     let connection = shared.pool.connect(address, shared.settings.front.connect_timeout).await;
     let connection = connection.map_err(|_| (End::As(AttemptOutcome::Unreachable), None))?;
     let mut client = Client::new(url);
-    let request = client.setup(track, shared.clock.micros());
+    let request = client.setup(track, shared.clock.elapsed_micros());
     if !begins.writing(&shared).await {
         shared.pool.put(address, connection);
         return Err((End::As(AttemptOutcome::Unsent), None));
--- a/crates/director/src/core.rs
+++ b/crates/director/src/core.rs
@@ -104,7 +104,7 @@
     let mut flushed = clock.now();
     loop {
         let due = this.engine.next_deadline().into_iter().chain(this.book.ledger.next_deadline()).min();
-        let due = due.map(|at| clock.at(at));
+        let due = due.map(|at| clock.to_tokio(at));
         let wait = async {
             match due {
                 Some(at) => tokio::time::sleep_until(at).await,
--- a/crates/director/src/node.rs
+++ b/crates/director/src/node.rs
@@ -52,27 +52,27 @@
     }
 
     pub async fn setup(&mut self, shared: &Shared, track: u8) -> Result<(), Fault> {
-        let request = self.client.setup(track, shared.clock.micros());
+        let request = self.client.setup(track, shared.clock.elapsed_micros());
         self.send(shared, request).await
     }
 
     pub async fn play(&mut self, shared: &Shared, range: Option<String>) -> Result<(), Fault> {
-        let request = self.client.play(range, shared.clock.micros());
+        let request = self.client.play(range, shared.clock.elapsed_micros());
         self.send(shared, request).await
     }
 
     pub async fn pause(&mut self, shared: &Shared) -> Result<(), Fault> {
-        let request = self.client.pause(shared.clock.micros());
+        let request = self.client.pause(shared.clock.elapsed_micros());
         self.send(shared, request).await
     }
 
     pub async fn switch(&mut self, shared: &Shared, from: u8, to: Url) -> Result<(), Fault> {
-        let request = self.client.switch(from, to, shared.clock.micros());
+        let request = self.client.switch(from, to, shared.clock.elapsed_micros());
         self.send(shared, request).await
     }
 
     pub async fn keep_alive(&mut self, shared: &Shared) -> Result<(), Fault> {
-        match self.client.keep_alive(shared.clock.micros()) {
+        match self.client.keep_alive(shared.clock.elapsed_micros()) {
             Some(request) => self.send(shared, request).await,
             None => Ok(()),
         }
@@ -90,7 +90,7 @@
     /// A viewer waits in vain for what it asked of the node.
     pub fn overdue(&self, shared: &Shared) -> bool {
         let within = shared.settings.front.answer_timeout.as_micros() as u64;
-        self.client.overdue(shared.clock.micros(), within)
+        self.client.overdue(shared.clock.elapsed_micros(), within)
     }
 
     /// The connection is gone, or is not to be trusted any longer: the node is owed a tear-down.
@@ -112,7 +112,7 @@
     }
 
     async fn teardown_answered(&mut self, shared: &Shared) -> Result<(), Fault> {
-        let request = self.client.teardown(shared.clock.micros());
+        let request = self.client.teardown(shared.clock.elapsed_micros());
         self.send(shared, request).await?;
         while let Some(packet) = self.connection.next().await {
             if let Packet::Response(response) = packet?
--- a/crates/director/src/session.rs
+++ b/crates/director/src/session.rs
@@ -54,7 +54,7 @@
     pub fn new(shared: &Shared, sess: SessionId, asked: Asked, orders: mpsc::Receiver<Order>) -> Live {
         let track = |&rate: &u32| Track {
             rewriter: Rewriter::new(shared.random() as u32, rate),
-            meter: Meter::new(rate, shared.clock.micros()),
+            meter: Meter::new(rate, shared.clock.elapsed_micros()),
             heard: None,
         };
         Live {
--- a/crates/director/src/viewer.rs
+++ b/crates/director/src/viewer.rs
@@ -376,7 +376,7 @@
     /// Makes a frame the viewer's and puts it behind those that wait to be passed on. They lie side by side where the
     /// node sent them so, and are then joined without being copied.
     async fn frame(&mut self, mut bytes: BytesMut) -> Result<(), Closed> {
-        let now = self.shared.clock.micros();
+        let now = self.shared.clock.elapsed_micros();
         let Some(live) = &mut self.live else { return Ok(()) };
         let frame = live.frame(bytes[1], &mut bytes[FRAME_HEADER..], now);
         let channels = |track| self.server.channels(track);
@@ -419,7 +419,7 @@
         let reply = match node.client.answered(&response) {
             client::Answer::Done(Purpose::Setup { track }) => self.server.track_granted(live.ssrc(track)),
             client::Answer::Done(Purpose::Play) => {
-                live.plays(shared.clock.micros());
+                live.plays(shared.clock.elapsed_micros());
                 let range = messages::header(&response, &headers::RANGE);
                 let info = messages::header(&response, &headers::RTP_INFO).map(|info| live.rtp_info(info));
                 let reply = self.server.plays(range, info.as_deref());
@@ -482,7 +482,7 @@
         }
         if self.server.state() == State::Playing
             && let Some(share) =
-                live.share(shared.clock.micros(), |track| self.server.channels(track).is_some())
+                live.share(shared.clock.elapsed_micros(), |track| self.server.channels(track).is_some())
         {
             shared.core.tell(Input::SessionDelivery { session: live.sess, share }).await;
         }
--- a/crates/platform-director/src/hub.rs
+++ b/crates/platform-director/src/hub.rs
@@ -124,7 +124,7 @@
         let mut report = tokio::time::interval(REPORT);
         loop {
             let due = if self.taken.is_empty() { self.board.next_due() } else { Instant::LONG_AGO };
-            let due = self.clock.at(due);
+            let due = self.clock.to_tokio(due);
             tokio::select! {
                 biased;
                 Some(event) = self.first.1.recv() => self.taken.push(event),
