--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,122 +1,136 @@
-//! The door before the module: which requests go in now, which wait a bounded time, which are busy-replied at once,
-//! in which order those that wait go in, and when those that are sent away are told to come back. Who plays, and
-//! where, is the module's.
+//! Admission control in front of the module that places sessions: which requests pass at once, which wait for
+//! a bounded time, which get a busy reply, in which order waiting requests are admitted, and when rejected
+//! clients are told to retry. Whether an admitted session plays, and at which node, is decided by the module.
 //!
-//! [`AdmissionController::offer`] takes a request, [`AdmissionController::done`] tells how one that went in came out, [`AdmissionController::round`] gives what is to
-//! be done now. There is no I/O, no clock and no thread in it.
+//! [`AdmissionController::offer`] takes a request, [`AdmissionController::complete`] reports the outcome of
+//! an admitted one, and [`AdmissionController::poll`] returns the decisions that are due. The crate does no
+//! I/O, reads no clock and starts no threads: the caller passes in the time.
 //!
-//! - [`limit`] learns how much may be in hand at once, from how long set-ups take and how many are turned away;
-//! - [`fair`] holds those that wait, shares by service group and within a group by client, in bounded memory;
-//! - [`heavy`] tells clients that ask far more than others, in a fixed table;
-//! - [`later`] says when to come back, and spreads those that it sends away over the time in which there is room.
+//! - [`concurrency_limit`] learns how many set-ups may be in flight, from their duration and the busy
+//!   replies;
+//! - [`fair_queue`] holds waiting requests in bounded memory and shares admissions between service groups,
+//!   tenants and clients;
+//! - [`heavy_hitters`] detects clients that send far more requests than others, with a table of fixed size;
+//! - [`retry_scheduler`] computes retry-after times that spread rejected clients over the capacity that is
+//!   left.
 
-pub mod fair;
-pub mod heavy;
-pub mod later;
-pub mod limit;
+pub mod concurrency_limit;
+pub mod fair_queue;
+pub mod heavy_hitters;
+pub mod retry_scheduler;
 
 use ashglade::ids::{GroupId, SessionId};
 use ashglade::time::{Instant, Span};
 use serde::{Deserialize, Serialize};
 
-use fair::{Fair, Ticket};
-use heavy::Heavy;
-use later::{Coming, Later, RetryCounters};
-use limit::Limit;
+use concurrency_limit::ConcurrencyLimit;
+use fair_queue::{FairQueue, QueuedRequest};
+use heavy_hitters::HeavyHitters;
+use retry_scheduler::{Arrival, RetryCounters, RetryScheduler};
 
-/// What the door is set up with.
+/// Configuration of an [`AdmissionController`].
 #[derive(Clone, Debug)]
 pub struct AdmissionConfig {
+    /// Seed of the hash functions and of random retry delays.
     pub seed: u64,
-    /// By service group: its weight, and the utility of one session.
+    /// Weight of each service group and the utility of one of its sessions, indexed by [`GroupId`].
     pub groups: Vec<(f64, f64)>,
-    /// Weights of tenants within a group; one at least.
+    /// Weights of the tenants within a group; at least one.
     pub tenant_weights: Vec<f64>,
-    /// The shortest start target.
+    /// The shortest start target of any service group.
     pub min_start_target: Span,
-    /// Longest retry-after that may be told; none is told without.
+    /// The longest retry-after that may be sent; without it, busy replies carry none.
     pub max_retry_after: Option<Span>,
-    /// Requests that wait at most.
+    /// Maximum number of waiting requests.
     pub max_waiting: usize,
-    /// In hand at once: at the beginning, at least, and at most.
+    /// Limit on set-ups in flight: initial, minimum and maximum.
     pub concurrency_limits: (f64, f64, f64),
 }
 
-/// A request at the door.
+/// A session request that asks for admission.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AdmissionRequest {
     #[serde(rename = "sess")]
     pub session: SessionId,
     pub group: GroupId,
-    /// By its place among the tenants of the terms.
+    /// Index of the tenant in [`AdmissionConfig::tenant_weights`].
     #[serde(default)]
     pub tenant: usize,
-    /// Whoever it comes from: a hash of its address or its name.
+    /// Hash of the client's address or name.
     pub client: u64,
-    /// When an answer is wanted, and when the viewer gives up.
+    /// Time within which the viewer expects the session to start.
     pub start_target: Span,
+    /// Time after which the viewer gives up.
     pub setup_timeout: Span,
 }
 
-/// How a request that went in came out.
+/// Outcome of an admitted request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SetupOutcome {
+    /// The session plays.
     Started,
-    /// The module had no room, or nodes were full.
+    /// The module found no capacity, or the nodes were full.
     Busy,
-    /// The viewer left, or it was torn down: tells nothing of room.
+    /// The viewer left or the session was torn down, which says nothing about capacity.
     Other,
 }
 
-/// What is to be done with a request.
+/// What the caller has to do with a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AdmissionDecision {
-    /// It goes to the module now, having waited so long.
+    /// Pass the request to the module; `waited` is the time that it spent in the queue.
     Admit { session: SessionId, waited: Span },
-    /// It is busy-replied now.
+    /// Send a busy reply.
     Reject { session: SessionId, retry_after: Option<Span>, reason: RejectReason },
 }
 
-/// Why a request is sent away.
+/// Why a request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RejectReason {
-    /// All places to wait are taken, and its group is the one most over its share.
+    /// The queue is full, and this request's group is the one that exceeds its share the most.
     NoPlace,
-    /// Its turn would not come in time.
+    /// The request cannot reach the head of the queue before its deadline.
     Hopeless,
-    /// Its turn did not come in time.
+    /// The deadline passed while the request waited.
     TooLong,
-    /// It came before it was told, and too many do.
+    /// The client retried before its retry-after, and the budget for such early retries is spent.
     TooEarly,
 }
 
+/// Totals since the controller was created.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdmissionCounters {
+    /// Requests offered.
     pub offered: u64,
+    /// Requests admitted.
     #[serde(rename = "let_in")]
     pub admitted: u64,
+    /// Admitted requests that had to wait.
     #[serde(rename = "waited")]
     pub admitted_after_waiting: u64,
-    /// Sent away: no place to wait, would have waited too long, or did.
+    /// Requests rejected as [`RejectReason::NoPlace`].
     #[serde(rename = "no_place")]
     pub queue_full: u64,
+    /// Requests rejected as [`RejectReason::Hopeless`].
     #[serde(rename = "hopeless")]
     pub deadline_unreachable: u64,
+    /// Requests rejected as [`RejectReason::TooLong`].
     #[serde(rename = "too_long")]
     pub wait_expired: u64,
-    /// SetupOutcome before they were told, and beyond the budget of such retries.
+    /// Requests rejected as [`RejectReason::TooEarly`].
     #[serde(rename = "too_early")]
     pub retried_early: u64,
 }
 
-/// The door as operators see it.
+/// Snapshot of the controller for operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AdmissionStatus {
-    /// Set-ups that may be in hand at once, and that are.
+    /// Current limit on set-ups in flight.
     pub limit: f64,
+    /// Set-ups in flight.
     #[serde(rename = "inside")]
     pub in_flight: usize,
-    /// By service group.
+    /// Waiting requests by service group.
     pub waiting: Vec<usize>,
     #[serde(rename = "tally")]
     pub counters: AdmissionCounters,
@@ -124,148 +138,163 @@
     pub retries: RetryCounters,
 }
 
-/// A part of the start target is the most that anyone waits: the rest is for the set-up itself.
-const WAIT_PART: f64 = 0.5;
-/// Nor does anyone wait for more than this part of the setup timeout, whatever its start target is.
-const TIMEOUT_PART: f64 = 0.25;
-/// The door is looked at so often in a start target while anyone waits.
-const LOOKS: f64 = 20.0;
+/// Longest wait as a fraction of the start target; the rest is left for the set-up itself.
+const MAX_WAIT_START_TARGET_FRACTION: f64 = 0.5;
+/// Longest wait as a fraction of the setup timeout, whatever the start target is.
+const MAX_WAIT_SETUP_TIMEOUT_FRACTION: f64 = 0.25;
+/// Checks of the queue per start target while requests wait.
+const CHECKS_PER_START_TARGET: f64 = 20.0;
 
+/// Queues, admits and rejects session requests.
 #[derive(Debug)]
 pub struct AdmissionController {
-    terms: AdmissionConfig,
-    limit: Limit,
-    fair: Fair,
-    heavy: Heavy,
-    later: Later,
-    /// Requests that went in and have not come out, with when.
-    inside: std::collections::BTreeMap<SessionId, Instant>,
-    /// When it was last looked whose turn can't come in time.
-    looked: Instant,
-    /// Nothing more goes in just now, whatever the limit.
-    held: bool,
-    /// What is to be done since the last round.
-    verdicts: Vec<AdmissionDecision>,
+    config: AdmissionConfig,
+    limit: ConcurrencyLimit,
+    queue: FairQueue,
+    heavy_hitters: HeavyHitters,
+    retry_scheduler: RetryScheduler,
+    /// Admitted requests without an outcome yet, with the time of their admission.
+    in_flight: std::collections::BTreeMap<SessionId, Instant>,
+    /// When the queue was last searched for requests that cannot be admitted before their deadline.
+    last_deadline_check: Instant,
+    /// Whether admissions are suspended regardless of the limit.
+    paused: bool,
+    /// Decisions that the next poll returns.
+    decisions: Vec<AdmissionDecision>,
     pub counters: AdmissionCounters,
 }
 
 impl AdmissionController {
-    pub fn new(terms: AdmissionConfig, now: Instant) -> AdmissionController {
+    pub fn new(config: AdmissionConfig, now: Instant) -> AdmissionController {
         AdmissionController {
-            limit: Limit::new(terms.concurrency_limits, terms.min_start_target, now),
-            fair: Fair::new(&terms.groups, &terms.tenant_weights, terms.max_waiting, terms.seed),
-            heavy: Heavy::new(terms.seed, now),
-            later: Later::new(terms.max_retry_after, terms.min_start_target, terms.seed, now),
-            inside: std::collections::BTreeMap::new(),
-            looked: now,
-            held: false,
-            verdicts: Vec::new(),
+            limit: ConcurrencyLimit::new(config.concurrency_limits, config.min_start_target, now),
+            queue: FairQueue::new(&config.groups, &config.tenant_weights, config.max_waiting, config.seed),
+            heavy_hitters: HeavyHitters::new(config.seed, now),
+            retry_scheduler: RetryScheduler::new(
+                config.max_retry_after,
+                config.min_start_target,
+                config.seed,
+                now,
+            ),
+            in_flight: std::collections::BTreeMap::new(),
+            last_deadline_check: now,
+            paused: false,
+            decisions: Vec::new(),
             counters: AdmissionCounters::default(),
-            terms,
+            config,
         }
     }
 
-    /// Requests that wait, and that went in and have not come out.
+    /// Returns the number of waiting requests and the number of set-ups in flight.
     pub fn waiting_and_in_flight(&self) -> (usize, usize) {
-        (self.fair.len(), self.inside.len())
+        (self.queue.len(), self.in_flight.len())
     }
 
-    /// What is to be seen of the door just now.
+    /// Returns a snapshot for operators.
     pub fn status(&self) -> AdmissionStatus {
         AdmissionStatus {
-            limit: self.limit.now(),
-            in_flight: self.inside.len(),
-            waiting: self.fair.waiting(),
+            limit: self.limit.current(),
+            in_flight: self.in_flight.len(),
+            waiting: self.queue.waiting_by_group(),
             counters: self.counters.clone(),
-            retries: self.later.kept.clone(),
+            retries: self.retry_scheduler.counters.clone(),
         }
     }
 
-    /// Nothing more goes in just now, though the limit is not reached: what is in hand takes too long.
+    /// Returns whether admissions are suspended below the limit because the set-ups in flight take too long.
     pub fn is_paused(&self) -> bool {
-        self.held
+        self.paused
     }
 
-    /// How many may be in hand at once just now.
+    /// Returns the current limit on set-ups in flight.
     pub fn limit(&self) -> f64 {
-        self.limit.now()
+        self.limit.current()
     }
 
-    /// A request comes. It waits in its queue; [`AdmissionController::round`] says what becomes of it.
+    /// Queues a request. [`AdmissionController::poll`] returns the decision on it, now or later.
     pub fn offer(&mut self, request: AdmissionRequest, now: Instant) {
         self.counters.offered += 1;
-        let coming = self.later.came(request.client, now);
-        let heavy = self.heavy.asks(request.client, now);
-        let patience = (request.start_target * WAIT_PART).min(request.setup_timeout * TIMEOUT_PART);
-        let promised = coming == Coming::Promised && heavy.is_none();
-        let ticket = Ticket { request, since: now, until: now + patience, promised, heavy };
-        if coming == Coming::TooMany {
-            self.send_away(ticket, RejectReason::TooEarly, now);
-        } else if let Err(turned) = self.fair.push(ticket) {
-            self.send_away(turned, RejectReason::NoPlace, now);
+        let arrival = self.retry_scheduler.on_arrival(request.client, now);
+        let heavy_count = self.heavy_hitters.record(request.client, now);
+        let max_wait = (request.start_target * MAX_WAIT_START_TARGET_FRACTION)
+            .min(request.setup_timeout * MAX_WAIT_SETUP_TIMEOUT_FRACTION);
+        let in_slot = arrival == Arrival::InSlot && heavy_count.is_none();
+        let queued =
+            QueuedRequest { request, enqueued_at: now, deadline: now + max_wait, in_slot, heavy_count };
+        if arrival == Arrival::EarlyOverBudget {
+            self.reject(queued, RejectReason::TooEarly, now);
+        } else if let Err(rejected) = self.queue.push(queued) {
+            self.reject(rejected, RejectReason::NoPlace, now);
         }
     }
 
-    /// The viewer of a request that waits has gone; false if it doesn't wait here.
+    /// Removes a waiting request whose viewer has left. Returns false if the request does not wait here.
     pub fn cancel(&mut self, session: SessionId) -> bool {
-        self.fair.remove(session)
+        self.queue.remove(session)
     }
 
-    /// A request that went in has come out.
-    pub fn complete(&mut self, session: SessionId, how: SetupOutcome, now: Instant) {
-        let Some(since) = self.inside.remove(&session) else { return };
-        self.limit.came(now - since, how, self.inside.len() + 1, now);
-        if how == SetupOutcome::Started {
-            self.later.served(now);
+    /// Reports the outcome of an admitted request.
+    pub fn complete(&mut self, session: SessionId, outcome: SetupOutcome, now: Instant) {
+        let Some(admitted_at) = self.in_flight.remove(&session) else { return };
+        self.limit.on_complete(now - admitted_at, outcome, self.in_flight.len() + 1, now);
+        if outcome == SetupOutcome::Started {
+            self.retry_scheduler.on_started(now);
         }
     }
 
-    fn send_away(&mut self, ticket: Ticket, reason: RejectReason, now: Instant) {
+    fn reject(&mut self, queued: QueuedRequest, reason: RejectReason, now: Instant) {
         *match reason {
             RejectReason::NoPlace => &mut self.counters.queue_full,
             RejectReason::Hopeless => &mut self.counters.deadline_unreachable,
             RejectReason::TooLong => &mut self.counters.wait_expired,
             RejectReason::TooEarly => &mut self.counters.retried_early,
         } += 1;
-        let AdmissionRequest { session, client, .. } = ticket.request;
-        let retry_after = self.later.when(client, ticket.heavy.is_some(), now);
-        self.verdicts.push(AdmissionDecision::Reject { session, retry_after, reason });
+        let AdmissionRequest { session, client, .. } = queued.request;
+        let retry_after = self.retry_scheduler.retry_after(client, queued.heavy_count.is_some(), now);
+        self.decisions.push(AdmissionDecision::Reject { session, retry_after, reason });
     }
 
-    /// What is to be done now. Whoever waits too long is told so at once; then as many go in as there is room for.
+    /// Returns the decisions that are due: rejects requests whose wait has expired, then admits as many as
+    /// the limit allows.
     pub fn poll(&mut self, now: Instant) -> Vec<AdmissionDecision> {
-        for ticket in self.fair.overdue(now) {
-            self.send_away(ticket, RejectReason::TooLong, now);
+        for expired in self.queue.take_expired(now) {
+            self.reject(expired, RejectReason::TooLong, now);
         }
-        self.held = self.limit.held(self.inside.values().map(|&since| now - since));
-        let room = |this: &AdmissionController| !this.held && (this.inside.len() as f64) < this.limit.now();
-        while room(self)
-            && let Some(ticket) = self.fair.pop()
+        self.paused = self.limit.is_overloaded(self.in_flight.values().map(|&admitted_at| now - admitted_at));
+        let has_capacity =
+            |this: &AdmissionController| !this.paused && (this.in_flight.len() as f64) < this.limit.current();
+        while has_capacity(self)
+            && let Some(queued) = self.queue.pop()
         {
-            let (session, waited) = (ticket.request.session, now - ticket.since);
-            self.inside.insert(session, now);
-            self.later.went_in(ticket.request.client, ticket.promised);
+            let (session, waited) = (queued.request.session, now - queued.enqueued_at);
+            self.in_flight.insert(session, now);
+            self.retry_scheduler.on_admitted(queued.request.client, queued.in_slot);
             self.counters.admitted += 1;
             self.counters.admitted_after_waiting += u64::from(waited > Span::ZERO);
-            self.verdicts.push(AdmissionDecision::Admit { session, waited });
+            self.decisions.push(AdmissionDecision::Admit { session, waited });
         }
-        // Those whose turn can't come in time aren't kept until it has not come.
-        if now - self.looked >= self.terms.min_start_target * (1.0 / LOOKS)
-            && let Some(rate) = self.limit.rate(now)
+        // A request that cannot be admitted in time is rejected now rather than at its deadline.
+        if now - self.last_deadline_check >= self.config.min_start_target * (1.0 / CHECKS_PER_START_TARGET)
+            && let Some(rate) = self.limit.completion_rate(now)
         {
-            self.looked = now;
-            for ticket in self.fair.hopeless(now, rate) {
-                self.send_away(ticket, RejectReason::Hopeless, now);
+            self.last_deadline_check = now;
+            for unreachable in self.queue.evict_unreachable(now, rate) {
+                self.reject(unreachable, RejectReason::Hopeless, now);
             }
         }
-        std::mem::take(&mut self.verdicts)
+        std::mem::take(&mut self.decisions)
     }
 
-    /// When the next round is due if nothing comes before: at once if some of those that wait may go in.
+    /// Returns when to poll next if nothing happens before; `now` if a waiting request can be admitted at
+    /// once, and none if no request waits.
     pub fn next_deadline(&self, now: Instant) -> Option<Instant> {
-        let room = !self.held && (self.inside.len() as f64) < self.limit.now();
-        let after = if room { Span::ZERO } else { self.terms.min_start_target * (1.0 / LOOKS) };
-        (!self.fair.is_empty()).then(|| now + after)
+        let has_capacity = !self.paused && (self.in_flight.len() as f64) < self.limit.current();
+        let delay = if has_capacity {
+            Span::ZERO
+        } else {
+            self.config.min_start_target * (1.0 / CHECKS_PER_START_TARGET)
+        };
+        (!self.queue.is_empty()).then(|| now + delay)
     }
 }
 
