--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,6 +1,7 @@
-//! Which box list a director goes by. A list replaces the one before whole or not at all: one that is older than
-//! the one held, contradicts itself or names the same address twice changes nothing. What has been told as
-//! draining or gone stays so until a *newer* list says otherwise. Free of I/O.
+//! Node discovery: which list of media nodes a director uses. A new list replaces the previous one as a whole
+//! or is rejected as a whole: a list that is older than the current one, that contradicts it under the same
+//! generation, or that is inconsistent in itself (as with one address twice) changes nothing. A node reported
+//! as draining or gone stays so until a newer list says otherwise. The crate does no I/O.
 
 pub mod sources;
 
@@ -13,22 +14,27 @@
 use ashglade::time::Instant;
 use serde::{Deserialize, Serialize};
 
+/// State of a media node as reported by a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NodeState {
+    /// Takes new sessions.
     Ready,
+    /// Takes no new sessions and finishes those it has.
     Draining,
+    /// Is no longer part of the fleet.
     Gone,
 }
 
-/// One media node as a list tells of it.
+/// One media node in a list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeEntry {
     pub name: String,
+    /// Address of the RTSP server.
     pub address: SocketAddr,
-    /// Where it serves HLS, if it does.
+    /// Address of the HLS server, if the node has one.
     #[serde(rename = "http", default, skip_serializing_if = "Option::is_none")]
     pub http_address: Option<SocketAddr>,
-    /// Tells the node where directors reach it by different addresses; its address does if left out.
+    /// Identity of the node where directors reach it under different addresses; by default it is the address.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub id: Option<String>,
     #[serde(rename = "place")]
@@ -38,13 +44,15 @@
 }
 
 impl NodeEntry {
+    /// Returns the id that is derived from the entry's `id` or, without one, from its address.
     pub fn node_id(&self) -> NodeId {
         self.id.as_ref().map_or_else(|| node_id(&self.address), |id| hash(id))
     }
 }
 
-/// A media node's id: the same at every director and after a restart, as directors that take turns at a cold
-/// node must agree on it. Keyed by nothing, so that it also is the same from one release to the next.
+/// Returns the id of the node at an address. It is the same at all directors, which must agree on it when
+/// they take turns at a cold node, and after a restart. The hash has no key, so that the id is also the same
+/// in all releases.
 pub fn node_id(address: &SocketAddr) -> NodeId {
     hash(&address.to_string())
 }
@@ -55,51 +63,56 @@
     NodeId(hasher.finish())
 }
 
+/// A complete list of media nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeList {
-    /// Rises with each change of the list.
+    /// Version of the list, which increases with each change.
     pub generation: u64,
     pub entries: Vec<NodeEntry>,
 }
 
-/// Why a list was left out; the one held stays in force.
+/// Why a list was rejected. The current list remains in force.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ListError {
-    #[error("generation {offered} is older than {held}, which is in force")]
-    StaleGeneration { offered: u64, held: u64 },
-    #[error("generation {generation} was told before with other entries")]
+    #[error("generation {offered} is older than {current}, which is in force")]
+    StaleGeneration { offered: u64, current: u64 },
+    #[error("generation {generation} was already received with other entries")]
     ConflictingGeneration { generation: u64 },
     #[error("{first} and {second} have the same address, {address}")]
     DuplicateAddress { first: String, second: String, address: SocketAddr },
     #[error("two nodes are named {name}")]
     DuplicateName { name: String },
-    #[error("the ids of {first} and {second} are the same")]
+    #[error("{first} and {second} have the same id")]
     DuplicateId { first: String, second: String },
-    #[error("{name} has the weight {weight}; more than 0 and finite is wanted")]
+    #[error("the weight of {name} is {weight}, but must be finite and greater than 0")]
     InvalidWeight { name: String, weight: String },
-    #[error("the list names no node")]
+    #[error("the list contains no nodes")]
     Empty,
 }
 
-/// What a list changed.
+/// Number of nodes that changed with a list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Changes {
+pub struct MembershipChanges {
     pub added: usize,
+    /// Nodes with a later start time than before.
     pub restarted: usize,
+    /// Nodes that are draining now and were not before.
     pub draining: usize,
+    /// Nodes that are gone now and were not before.
     pub removed: usize,
 }
 
+/// The current list, and the last known state of every node that any list has contained.
 #[derive(Debug, Default)]
 pub struct Membership {
-    held: Option<NodeList>,
-    /// Every node ever named, with what was last told: connections to nodes that drain go on.
+    current: Option<NodeList>,
+    /// Includes nodes that are draining or gone, as connections to them go on.
     nodes: BTreeMap<NodeId, NodeEntry>,
 }
 
 impl Membership {
     pub fn list(&self) -> Option<&NodeList> {
-        self.held.as_ref()
+        self.current.as_ref()
     }
 
     pub fn entry(&self, node: NodeId) -> Option<&NodeEntry> {
@@ -110,52 +123,60 @@
         self.nodes.iter()
     }
 
-    /// Takes the list if it may be taken; `Ok(None)` where it is the one held.
-    pub fn update(&mut self, list: NodeList) -> Result<Option<Changes>, ListError> {
-        check(&list)?;
-        if let Some(held) = &self.held {
-            if list.generation < held.generation {
-                return Err(ListError::StaleGeneration { offered: list.generation, held: held.generation });
+    /// Replaces the current list. Returns `Ok(None)` if the list is the current one.
+    pub fn update(&mut self, list: NodeList) -> Result<Option<MembershipChanges>, ListError> {
+        validate(&list)?;
+        if let Some(current) = &self.current {
+            if list.generation < current.generation {
+                return Err(ListError::StaleGeneration {
+                    offered: list.generation,
+                    current: current.generation,
+                });
             }
-            if list.generation == held.generation {
-                return if list == *held {
+            if list.generation == current.generation {
+                return if list == *current {
                     Ok(None)
                 } else {
                     Err(ListError::ConflictingGeneration { generation: list.generation })
                 };
             }
         }
-        let mut changes = Changes::default();
-        let mut left: BTreeSet<NodeId> =
+        let mut changes = MembershipChanges::default();
+        let mut missing: BTreeSet<NodeId> =
             self.nodes.iter().filter(|(_, e)| e.state != NodeState::Gone).map(|(&node, _)| node).collect();
         for entry in &list.entries {
             let node = entry.node_id();
-            left.remove(&node);
-            let before = self.nodes.insert(node, entry.clone());
-            let was = before.as_ref().map(|b| b.state);
-            changes.added += usize::from(before.is_none());
-            changes.draining +=
-                usize::from(entry.state == NodeState::Draining && was != Some(NodeState::Draining));
-            changes.removed += usize::from(entry.state == NodeState::Gone && was != Some(NodeState::Gone));
-            changes.restarted += usize::from(before.is_some_and(|b| started(&b.info) < started(&entry.info)));
+            missing.remove(&node);
+            let previous = self.nodes.insert(node, entry.clone());
+            let previous_state = previous.as_ref().map(|previous| previous.state);
+            changes.added += usize::from(previous.is_none());
+            changes.draining += usize::from(
+                entry.state == NodeState::Draining && previous_state != Some(NodeState::Draining),
+            );
+            changes.removed +=
+                usize::from(entry.state == NodeState::Gone && previous_state != Some(NodeState::Gone));
+            changes.restarted += usize::from(
+                previous.is_some_and(|previous| started_at(&previous.info) < started_at(&entry.info)),
+            );
         }
-        // What a whole list leaves out is gone.
-        for node in left {
+        // Nodes that the list does not contain are gone.
+        for node in missing {
             if let Some(entry) = self.nodes.get_mut(&node) {
                 entry.state = NodeState::Gone;
                 changes.removed += 1;
             }
         }
-        self.held = Some(list);
+        self.current = Some(list);
         Ok(Some(changes))
     }
 }
 
-fn started(place: &NodeInfo) -> Instant {
-    place.started.unwrap_or(Instant::LONG_AGO)
+fn started_at(info: &NodeInfo) -> Instant {
+    info.started.unwrap_or(Instant::LONG_AGO)
 }
 
-fn check(list: &NodeList) -> Result<(), ListError> {
+/// Checks that a list is consistent in itself.
+fn validate(list: &NodeList) -> Result<(), ListError> {
     if list.entries.is_empty() {
         return Err(ListError::Empty);
     }
@@ -180,6 +201,6 @@
 }
 
 #[cfg(test)]
-mod tests;
+mod sources_tests;
 #[cfg(test)]
-mod watch_test;
+mod tests;
--- a/crates/discovery/src/sources.rs
+++ b/crates/discovery/src/sources.rs
@@ -1,263 +1,277 @@
-//! Where lists come from: files that others write, more than one perhaps, which change at any moment, vanish, are cut short,
-//! or are wrong. [`SourceMerger`] is told what was read and says what is in force; it does no reading itself.
+//! Merges the node lists of several sources. Sources are files that other programs write: they may change at
+//! any time, disappear, be truncated or be wrong. [`SourceMerger`] is given what was read and determines the
+//! list in force; it reads nothing itself.
 //!
-//! - What is read is taken whole or not at all, and an older generation of a source never replaces a newer.
-//! - Several sources are one list: a node's place is that of the first source that names it, and its standing the worst that
-//!   any of them tells. So a drain told anywhere holds until that same source takes it back in a newer list.
-//! - A list that *leaves out* many nodes at once that another moment ago were ready is held back, and said loudly. It is taken
-//!   when it is still the same after a while, or when its writer confirms the number. What it says of nodes by name is in
-//!   force all the same: a drain that was told is kept (rule 3), from the first word on.
+//! - What is read is accepted as a whole or not at all, and an older generation of a source never replaces a
+//!   newer one.
+//! - All sources form one list. A node's data is that of the first source that contains it, and its state is
+//!   the worst that any source reports. A drain reported by any source therefore holds until the same source
+//!   revokes it in a newer list.
+//! - A list that *leaves out* many nodes at once that were ready before is held back with a warning. It is
+//!   accepted if it stays the same for a while, or if its writer confirms the number of nodes. States that it
+//!   reports for nodes by name apply at once all the same, so that a reported drain is always honoured (rule
+//!   3).
 //!
-//! Compared for the last: refusing such a list until somebody acts (the fleet may really have gone, and every SETUP to it is
-//! then lost, at night); letting nodes go a few at a time (the same, slower, and a bad list does its harm all the same); and
-//! this. Envoy's panic threshold and Consul's anti-flap share the idea that a view in which most have vanished tells more of
-//! the view than of the fleet.
+//! Alternatives considered for the last rule: rejecting such a list until an operator acts, which loses every
+//! SETUP to the missing nodes if they are really gone, at night for hours; and removing a few nodes at a
+//! time, which has the same result later and still lets a wrong list do its damage. Envoy's panic threshold
+//! and Consul's anti-flapping share the assumption of this rule: a view in which most nodes have vanished
+//! says more about the view than about the fleet.
 
 use std::collections::BTreeMap;
 use std::hash::Hasher;
 
 use ashglade::time::{Instant, Span};
 
-use crate::{ListError, NodeEntry, NodeList, NodeState, check};
+use crate::{ListError, NodeEntry, NodeList, NodeState, validate};
 
-/// Which source, by its place in the settings: the first goes before the others.
+/// Index of a source in the settings. Earlier sources take precedence over later ones.
 pub type SourceIndex = usize;
 
-/// What was found at a source.
+/// What was read from a source.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SourceRead {
     List {
         list: NodeList,
-        /// How many nodes its writer says that it leaves out on purpose.
+        /// Number of nodes that the writer confirms to have left out.
         leaves_out: Option<usize>,
     },
-    /// It is not there, can't be read, or is no list.
+    /// The source does not exist, cannot be read, or is not a valid list.
     Unreadable { reason: String },
 }
 
-/// What is new.
+/// A change that results from reading the sources.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SourceEvent {
-    /// This is in force from now on.
+    /// The list that is in force from now on.
     InForce(NodeList),
-    /// A source's list was left out, and why.
+    /// A list of a source was rejected.
     Rejected { source: SourceIndex, reason: String },
-    /// A source leaves out so many of so many that are ready; until when, if it stays so.
+    /// A list leaves out `left_out` of the source's `ready` nodes. It is accepted at `until` if it does not
+    /// change before.
     HeldBack { source: SourceIndex, left_out: usize, ready: usize, until: Instant },
-    /// What was held back is taken.
+    /// A list that leaves out many nodes was accepted, by confirmation or after having been held back.
     Accepted { source: SourceIndex, left_out: usize },
-    /// A source that had a list has none; the list it had stays in force.
+    /// A source that had a list cannot be read any more. Its last list remains in force.
     Unavailable { source: SourceIndex, reason: String },
-    /// It has one again.
+    /// The source can be read again.
     Available { source: SourceIndex },
 }
 
 #[derive(Debug, Default)]
-struct Held {
-    /// As last taken, whole.
+struct SourceState {
+    /// The list accepted last.
     list: Option<NodeList>,
-    /// Newer, and held back.
-    back: Option<Back>,
-    vanished: bool,
-    /// What was refused last: a wrong list is told once, not at each look.
-    refused: Option<u64>,
+    /// A newer list that is held back.
+    pending: Option<PendingList>,
+    unavailable: bool,
+    /// Hash of the last reason for a rejection, so that the same fault is reported only once.
+    last_rejection: Option<u64>,
 }
 
+/// A list that is held back because it leaves out many nodes.
 #[derive(Debug)]
-struct Back {
+struct PendingList {
     list: NodeList,
     left_out: usize,
     until: Instant,
 }
 
+/// Determines the list in force from what was read from the sources.
 #[derive(Debug)]
 pub struct SourceMerger {
-    sources: Vec<Held>,
-    /// For so long a list that leaves out many must stay as it is.
-    hold: Span,
-    /// What is in force, and its own generation.
-    in_force: Option<NodeList>,
+    sources: Vec<SourceState>,
+    /// Time for which a list that leaves out many nodes has to stay the same before it is accepted.
+    hold_time: Span,
+    /// The list in force.
+    current: Option<NodeList>,
+    /// Generation of the list in force, which is independent of the generations of the sources.
     generation: u64,
 }
 
-/// A list may leave out this part of the ready nodes at once, and one node in any case.
-const LEFT_OUT: f64 = 0.25;
+/// Fraction of a source's ready nodes that a list may leave out at once; it may always leave out one.
+const MAX_LEFT_OUT_FRACTION: f64 = 0.25;
 
 impl SourceMerger {
-    pub fn new(sources: usize, hold: Span) -> SourceMerger {
-        let sources = (0..sources).map(|_| Held::default()).collect();
-        SourceMerger { sources, hold, in_force: None, generation: 0 }
+    pub fn new(sources: usize, hold_time: Span) -> SourceMerger {
+        let sources = (0..sources).map(|_| SourceState::default()).collect();
+        SourceMerger { sources, hold_time, current: None, generation: 0 }
     }
 
-    /// Begins with what was in force when the director before this one ended: it holds until sources tell otherwise.
-    /// Generations go on from there.
+    /// Starts with the list that was in force when the previous director process ended. It holds until the
+    /// sources replace it, and generations continue from its own.
     pub fn resume(&mut self, list: NodeList) -> Result<(), ListError> {
-        check(&list)?;
+        validate(&list)?;
         self.generation = list.generation;
         if let Some(first) = self.sources.first_mut() {
-            // Of the lowest generation, so that whatever the source has now is newer.
+            // With the lowest generation, so that any list of the source is newer.
             first.list = Some(NodeList { generation: 0, entries: list.entries.clone() });
         }
-        self.in_force = Some(list);
+        self.current = Some(list);
         Ok(())
     }
 
+    /// Returns the list in force.
     pub fn current(&self) -> Option<&NodeList> {
-        self.in_force.as_ref()
+        self.current.as_ref()
     }
 
-    /// Something was read; what is new by it.
-    pub fn update(&mut self, source: SourceIndex, found: SourceRead, now: Instant) -> Vec<SourceEvent> {
-        let mut news = Vec::new();
+    /// Takes what was read from a source and returns the resulting changes.
+    pub fn update(&mut self, source: SourceIndex, read: SourceRead, now: Instant) -> Vec<SourceEvent> {
+        let mut events = Vec::new();
         if source >= self.sources.len() {
-            return news;
+            return events;
         }
-        match found {
-            SourceRead::Unreadable { reason: why } => {
-                let held = &mut self.sources[source];
-                if held.list.is_some() && !std::mem::replace(&mut held.vanished, true) {
-                    news.push(SourceEvent::Unavailable { source, reason: why });
-                } else if held.list.is_none() && held.refused != Some(hash(&why)) {
-                    held.refused = Some(hash(&why));
-                    news.push(SourceEvent::Rejected { source, reason: why });
+        match read {
+            SourceRead::Unreadable { reason } => {
+                let state = &mut self.sources[source];
+                if state.list.is_some() && !std::mem::replace(&mut state.unavailable, true) {
+                    events.push(SourceEvent::Unavailable { source, reason });
+                } else if state.list.is_none() && state.last_rejection != Some(hash(&reason)) {
+                    state.last_rejection = Some(hash(&reason));
+                    events.push(SourceEvent::Rejected { source, reason });
                 }
             }
             SourceRead::List { list, leaves_out } => {
-                if std::mem::take(&mut self.sources[source].vanished) {
-                    news.push(SourceEvent::Available { source });
+                if std::mem::take(&mut self.sources[source].unavailable) {
+                    events.push(SourceEvent::Available { source });
                 }
-                self.offered(source, list, leaves_out, now, &mut news);
+                self.take_list(source, list, leaves_out, now, &mut events);
             }
         }
-        self.merge(&mut news);
-        news
+        self.merge(&mut events);
+        events
     }
 
-    /// When something is due if nothing is read before.
+    /// Returns when to call [`SourceMerger::poll`] if nothing is read before.
     pub fn next_deadline(&self) -> Option<Instant> {
-        self.sources.iter().filter_map(|held| Some(held.back.as_ref()?.until)).min()
+        self.sources.iter().filter_map(|state| Some(state.pending.as_ref()?.until)).min()
     }
 
-    /// What was held back long enough and is still what its source says is taken.
+    /// Accepts the lists that were held back long enough, and returns the resulting changes.
     pub fn poll(&mut self, now: Instant) -> Vec<SourceEvent> {
-        let mut news = Vec::new();
-        for (source, held) in self.sources.iter_mut().enumerate() {
-            // A source that has vanished meanwhile confirms nothing.
-            if !held.vanished
-                && let Some(back) = held.back.take_if(|back| back.until <= now)
+        let mut events = Vec::new();
+        for (source, state) in self.sources.iter_mut().enumerate() {
+            // A source that cannot be read at the moment does not confirm its list.
+            if !state.unavailable
+                && let Some(pending) = state.pending.take_if(|pending| pending.until <= now)
             {
-                news.push(SourceEvent::Accepted { source, left_out: back.left_out });
-                held.list = Some(back.list);
+                events.push(SourceEvent::Accepted { source, left_out: pending.left_out });
+                state.list = Some(pending.list);
             }
         }
-        self.merge(&mut news);
-        news
+        self.merge(&mut events);
+        events
     }
 
-    fn offered(
+    fn take_list(
         &mut self,
         source: SourceIndex,
         list: NodeList,
         leaves_out: Option<usize>,
         now: Instant,
-        news: &mut Vec<SourceEvent>,
+        events: &mut Vec<SourceEvent>,
     ) {
-        let ready = self.ready_of(source);
-        let held = &mut self.sources[source];
-        if let Err(why) = admissible(held, &list) {
-            let mark = hash(&why);
-            if held.refused.replace(mark) != Some(mark) {
-                news.push(SourceEvent::Rejected { source, reason: why });
+        let ready = self.ready_nodes(source);
+        let state = &mut self.sources[source];
+        if let Err(reason) = check_successor(state, &list) {
+            let reason_hash = hash(&reason);
+            if state.last_rejection.replace(reason_hash) != Some(reason_hash) {
+                events.push(SourceEvent::Rejected { source, reason });
             }
             return;
         }
-        held.refused = None;
-        if held.list.as_ref() == Some(&list) || held.back.as_ref().is_some_and(|back| back.list == list) {
+        state.last_rejection = None;
+        if state.list.as_ref() == Some(&list)
+            || state.pending.as_ref().is_some_and(|pending| pending.list == list)
+        {
             return;
         }
-        let named: std::collections::BTreeSet<_> = list.entries.iter().map(NodeEntry::node_id).collect();
-        let left_out = ready.iter().filter(|node| !named.contains(node)).count();
-        let may = ((ready.len() as f64 * LEFT_OUT) as usize).max(1);
-        if left_out > may && leaves_out != Some(left_out) {
-            // A newer list begins a wait of its own.
-            let until = now + self.hold;
-            held.back = Some(Back { list, left_out, until });
-            news.push(SourceEvent::HeldBack { source, left_out, ready: ready.len(), until });
+        let listed: std::collections::BTreeSet<_> = list.entries.iter().map(NodeEntry::node_id).collect();
+        let left_out = ready.iter().filter(|node| !listed.contains(node)).count();
+        let max_left_out = ((ready.len() as f64 * MAX_LEFT_OUT_FRACTION) as usize).max(1);
+        if left_out > max_left_out && leaves_out != Some(left_out) {
+            // Each newer list starts the hold time anew.
+            let until = now + self.hold_time;
+            state.pending = Some(PendingList { list, left_out, until });
+            events.push(SourceEvent::HeldBack { source, left_out, ready: ready.len(), until });
             return;
         }
-        held.back = None;
-        if left_out > may {
-            news.push(SourceEvent::Accepted { source, left_out });
+        state.pending = None;
+        if left_out > max_left_out {
+            events.push(SourceEvent::Accepted { source, left_out });
         }
-        held.list = Some(list);
+        state.list = Some(list);
     }
 
-    /// Nodes that this source has as ready.
-    fn ready_of(&self, source: SourceIndex) -> Vec<ashglade::ids::NodeId> {
+    /// Returns the nodes that are ready in a source's accepted list.
+    fn ready_nodes(&self, source: SourceIndex) -> Vec<ashglade::ids::NodeId> {
         let entries = self.sources[source].list.iter().flat_map(|list| &list.entries);
         entries.filter(|entry| entry.state == NodeState::Ready).map(NodeEntry::node_id).collect()
     }
 
-    /// Makes one list of what all sources say, and tells it if it is another than the one in force.
-    fn merge(&mut self, news: &mut Vec<SourceEvent>) {
+    /// Merges the lists of all sources, and reports the result if it differs from the list in force.
+    fn merge(&mut self, events: &mut Vec<SourceEvent>) {
         let mut merged: Vec<NodeEntry> = Vec::new();
-        let mut places = BTreeMap::new();
-        for held in &self.sources {
-            let whole = held.list.iter().flat_map(|list| &list.entries);
-            for entry in whole {
-                match places.get(&entry.node_id()) {
+        let mut index_by_node = BTreeMap::new();
+        for state in &self.sources {
+            let entries = state.list.iter().flat_map(|list| &list.entries);
+            for entry in entries {
+                match index_by_node.get(&entry.node_id()) {
                     None => {
-                        places.insert(entry.node_id(), merged.len());
+                        index_by_node.insert(entry.node_id(), merged.len());
                         merged.push(entry.clone());
                     }
-                    Some(&at) => {
-                        let first: &mut NodeEntry = &mut merged[at];
+                    Some(&index) => {
+                        let first: &mut NodeEntry = &mut merged[index];
                         first.state = worse(first.state, entry.state);
                     }
                 }
             }
         }
-        // By name, a list that is held back counts: what it tells as leaving, leaves.
-        for back in self.sources.iter().filter_map(|held| held.back.as_ref()) {
-            for entry in back.list.entries.iter().filter(|entry| entry.state != NodeState::Ready) {
-                if let Some(&at) = places.get(&entry.node_id()) {
-                    merged[at].state = worse(merged[at].state, entry.state);
+        // A list that is held back applies to the nodes that it reports as draining or gone.
+        for pending in self.sources.iter().filter_map(|state| state.pending.as_ref()) {
+            for entry in pending.list.entries.iter().filter(|entry| entry.state != NodeState::Ready) {
+                if let Some(&index) = index_by_node.get(&entry.node_id()) {
+                    merged[index].state = worse(merged[index].state, entry.state);
                 }
             }
         }
-        if merged.is_empty() || self.in_force.as_ref().is_some_and(|list| list.entries == merged) {
+        if merged.is_empty() || self.current.as_ref().is_some_and(|list| list.entries == merged) {
             return;
         }
         let list = NodeList { generation: self.generation + 1, entries: merged };
-        // Two sources may each be well and contradict each other, as by one address under two names.
-        match check(&list) {
+        // Sources that are each consistent may still contradict each other, as by one address under two
+        // names.
+        match validate(&list) {
             Ok(()) => {
                 self.generation = list.generation;
-                self.in_force = Some(list.clone());
-                news.push(SourceEvent::InForce(list));
+                self.current = Some(list.clone());
+                events.push(SourceEvent::InForce(list));
             }
-            Err(refusal) => {
-                let (source, why) =
-                    (self.sources.len() - 1, format!("sources contradict each other: {refusal}"));
-                let mark = hash(&why);
+            Err(error) => {
+                let (source, reason) =
+                    (self.sources.len() - 1, format!("sources contradict each other: {error}"));
+                let reason_hash = hash(&reason);
                 let last = &mut self.sources[source];
-                if last.refused.replace(mark) != Some(mark) {
-                    news.push(SourceEvent::Rejected { source, reason: why });
+                if last.last_rejection.replace(reason_hash) != Some(reason_hash) {
+                    events.push(SourceEvent::Rejected { source, reason });
                 }
             }
         }
     }
 }
 
-/// Whether a list may follow what its source had.
-fn admissible(held: &Held, list: &NodeList) -> Result<(), String> {
-    check(list).map_err(|refusal| refusal.to_string())?;
-    let newest = held.back.as_ref().map(|back| &back.list).or(held.list.as_ref());
+/// Checks that a list is valid and may follow the newest list of its source.
+fn check_successor(state: &SourceState, list: &NodeList) -> Result<(), String> {
+    validate(list).map_err(|error| error.to_string())?;
+    let newest = state.pending.as_ref().map(|pending| &pending.list).or(state.list.as_ref());
     match newest {
-        Some(before) if list.generation < before.generation => {
-            Err(ListError::StaleGeneration { offered: list.generation, held: before.generation }.to_string())
+        Some(newest) if list.generation < newest.generation => {
+            Err(ListError::StaleGeneration { offered: list.generation, current: newest.generation }
+                .to_string())
         }
-        Some(before) if list.generation == before.generation && list != before => {
+        Some(newest) if list.generation == newest.generation && list != newest => {
             Err(ListError::ConflictingGeneration { generation: list.generation }.to_string())
         }
         _ => Ok(()),
@@ -265,7 +279,7 @@
 }
 
 fn worse(one: NodeState, other: NodeState) -> NodeState {
-    let rank = |standing| match standing {
+    let rank = |state| match state {
         NodeState::Ready => 0,
         NodeState::Draining => 1,
         NodeState::Gone => 2,
@@ -279,8 +293,9 @@
     hasher.finish()
 }
 
-/// The checksum that a list's text may carry, of everything but the line that carries it: a list cut off between two boxes
-/// reads well and is half. CRC-32 (ISO-HDLC), as eight hexadecimal digits.
+/// Returns the checksum that a list file may carry, over all lines but the one that carries it. It detects a
+/// file that was truncated between two entries, which is still valid syntax. CRC-32 (ISO-HDLC), as eight
+/// hexadecimal digits.
 pub fn checksum(text: &str) -> String {
     let mut hasher = crc32fast::Hasher::new();
     for line in text.split_inclusive('\n').filter(|line| !line.trim_start().starts_with("checksum:")) {
