--- a/crates/admission/src/concurrency_limit.rs
+++ b/crates/admission/src/concurrency_limit.rs
@@ -2,7 +2,7 @@
 //! concurrency, or that end in a busy reply, lower the limit; fast set-ups raise it while it is in use.
 //! `docs/door.md` compares this latency gradient with AIMD on busy replies alone and with a target for the
 //! sojourn time. Directors that share nodes do not coordinate their limits;
-//! [`BASELINE_REFRESH_START_TARGETS`] and the additive increase in [`ConcurrencyLimit::on_complete`] keep the
+//! `BASELINE_REFRESH_START_TARGETS` and the additive increase in [`ConcurrencyLimit::on_complete`] keep the
 //! limits similar.
 
 use ashglade::time::{Instant, Span};
@@ -13,8 +13,11 @@
 /// are in flight.
 #[derive(Debug)]
 pub struct ConcurrencyLimit {
+    /// The limit outside of probe rounds.
     limit: f64,
+    /// Lower bound of the limit, also in probe rounds.
     min: f64,
+    /// Upper bound of the limit.
     max: f64,
     /// Duration of an unhindered set-up in milliseconds: the shortest one seen. It is measured anew from time
     /// to time in a probe round at a lower limit, as otherwise it would be learned from set-ups that already
@@ -30,11 +33,13 @@
     probing: bool,
     /// In a probe round: since when the number of set-ups in flight is within the lower limit.
     drained_at: Option<Instant>,
-    /// Since the last adjustment: total duration of successful set-ups in milliseconds, number of completed
-    /// set-ups, number of those with a busy reply, and start of the round.
+    /// Total duration of this round's successful set-ups in milliseconds.
     total_ms: f64,
+    /// Number of set-ups completed in this round, including those with a busy reply.
     completed: f64,
+    /// Number of set-ups of this round with a busy reply.
     busy: f64,
+    /// When the limit was last adjusted.
     round_started_at: Instant,
     /// Smoothed number of completed set-ups per second.
     completion_rate: Option<f64>,
--- a/crates/admission/src/fair_queue.rs
+++ b/crates/admission/src/fair_queue.rs
@@ -22,7 +22,9 @@
 /// A waiting request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QueuedRequest {
+    /// The request as offered.
     pub request: AdmissionRequest,
+    /// When the request was offered.
     pub enqueued_at: Instant,
     /// When the request is rejected if it has not been admitted.
     pub deadline: Instant,
@@ -42,6 +44,7 @@
 /// The state of one flow in start-time fair queueing.
 #[derive(Debug)]
 struct FairShare {
+    /// Share relative to the other flows.
     weight: f64,
     /// Virtual time at which the flow's next request starts.
     start_tag: f64,
@@ -66,10 +69,13 @@
 /// Waiting requests of one tenant in one group.
 #[derive(Debug)]
 struct ClientQueues {
+    /// Seed of the hash that assigns clients to queues.
     hash_seed: u64,
+    /// The client queues, and last the queue of reserved slots.
     queues: Vec<VecDeque<QueuedRequest>>,
     /// Indexes of the queues that are not empty, in round-robin order.
     active: VecDeque<usize>,
+    /// Number of requests in all queues.
     len: usize,
 }
 
@@ -77,6 +83,7 @@
 #[derive(Debug)]
 struct GroupQueue {
     share: FairShare,
+    /// Utility of one of the group's sessions, which decides between groups with nearly the same start tag.
     utility: f64,
     /// Virtual time among the group's tenants.
     virtual_time: f64,
@@ -89,6 +96,7 @@
     groups: Vec<GroupQueue>,
     /// Virtual time among the groups: the start tag of the request admitted last.
     virtual_time: f64,
+    /// Maximum number of waiting requests.
     capacity: usize,
     /// A lower bound on the deadlines of all waiting requests.
     earliest_deadline: Option<Instant>,
@@ -219,6 +227,7 @@
         self.groups.iter().map(GroupQueue::len).collect()
     }
 
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -274,7 +283,7 @@
         group.pop()
     }
 
-    /// Removes the request of a session. Returns false if it does not wait here.
+    /// Removes the request of a session. Returns false if it is not queued.
     pub fn remove(&mut self, session: SessionId) -> bool {
         self.groups
             .iter_mut()
--- a/crates/admission/src/heavy_hitters.rs
+++ b/crates/admission/src/heavy_hitters.rs
@@ -13,16 +13,20 @@
 use ashglade::time::{Instant, Span};
 use siphasher::sip::SipHasher13;
 
+/// Number of hash functions of a sketch.
 const ROWS: usize = 4;
+/// Number of counts per hash function.
 const COLUMNS: usize = 4096;
 /// Seconds after which the older sketch is dropped and the newer one is read in its place.
 const SKETCH_ROTATION_SECONDS: f64 = 10.0;
 /// A client is heavy if its count exceeds the sketch's expected error by this many requests.
 const HEAVY_MIN_REQUESTS: f64 = 8.0;
 
+/// A count-min sketch of the number of requests by client.
 #[derive(Debug)]
 struct Sketch {
     seed: u64,
+    /// `ROWS` rows of `COLUMNS` counts, one row after the other.
     counts: Vec<u32>,
     /// Number of requests counted, of all clients.
     total: u64,
@@ -39,6 +43,7 @@
         row * COLUMNS + (hasher.finish() % COLUMNS as u64) as usize
     }
 
+    /// Returns an upper bound on the client's number of requests.
     fn count(&self, client: u64) -> u32 {
         (0..ROWS).map(|row| self.counts[self.cell(row, client)]).min().unwrap_or(0)
     }
@@ -62,10 +67,12 @@
     newer: Sketch,
     /// The sketch that is filled and read.
     older: Sketch,
+    /// When the sketches were last rotated.
     rotated_at: Instant,
 }
 
 impl HeavyHitters {
+    /// Creates an empty detector whose hash seeds are drawn from `seed`.
     pub fn new(seed: u64, now: Instant) -> HeavyHitters {
         let mut random = oorandom::Rand64::new(seed.into());
         let (newer, older) = (Sketch::new(random.rand_u64()), Sketch::new(random.rand_u64()));
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -50,8 +50,10 @@
 /// A session request that asks for admission.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AdmissionRequest {
+    /// The session to be set up.
     #[serde(rename = "sess")]
     pub session: SessionId,
+    /// The service group whose share of the admissions the request uses.
     pub group: GroupId,
     /// Index of the tenant in [`AdmissionConfig::tenant_weights`].
     #[serde(default)]
@@ -84,7 +86,7 @@
     Reject { session: SessionId, retry_after: Option<Span>, reason: RejectReason },
 }
 
-/// Why a request was rejected.
+/// Why a request was rejected. The names of the variants appear in logs, records and reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RejectReason {
     /// The queue is full, and this request's group is the one that exceeds its share the most.
@@ -132,8 +134,10 @@
     pub in_flight: usize,
     /// Waiting requests by service group.
     pub waiting: Vec<usize>,
+    /// Totals of requests and decisions.
     #[serde(rename = "tally")]
     pub counters: AdmissionCounters,
+    /// Totals of retry slots and returning clients.
     #[serde(rename = "promises")]
     pub retries: RetryCounters,
 }
@@ -161,10 +165,12 @@
     paused: bool,
     /// Decisions that the next poll returns.
     decisions: Vec<AdmissionDecision>,
+    /// Totals since the controller was created.
     pub counters: AdmissionCounters,
 }
 
 impl AdmissionController {
+    /// Creates a controller without requests; `now` is the caller's current time.
     pub fn new(config: AdmissionConfig, now: Instant) -> AdmissionController {
         AdmissionController {
             limit: ConcurrencyLimit::new(config.concurrency_limits, config.min_start_target, now),
@@ -228,7 +234,7 @@
         }
     }
 
-    /// Removes a waiting request whose viewer has left. Returns false if the request does not wait here.
+    /// Removes a waiting request whose viewer has left. Returns false if the request is not queued.
     pub fn cancel(&mut self, session: SessionId) -> bool {
         self.queue.remove(session)
     }
--- a/crates/admission/src/retry_scheduler.rs
+++ b/crates/admission/src/retry_scheduler.rs
@@ -1,7 +1,7 @@
-//! Computes the retry-after of rejected requests. Each rejected client gets a slot of its own: from the rate
-//! at which sessions are served, the arrivals that nobody scheduled are subtracted, and the rate that is left
-//! is divided into slots, one after the other. Clients that were told to retry therefore return when there is
-//! capacity, and not all at once.
+//! Computes the retry-after of rejected requests. Each rejected client gets a slot of its own: the part of
+//! the served rate that unscheduled arrivals need is subtracted, and what is left of the rate is divided into
+//! consecutive slots. Clients that retry as told therefore return when there is capacity, and not all at
+//! once.
 //!
 //! A client that returns in its slot is admitted before others of its tenant. Slots are kept by client in a
 //! table of bounded size. A client that returns early is given the same time again, and heavy clients get no
@@ -19,23 +19,30 @@
 /// Assigns retry slots and classifies the clients that return.
 #[derive(Debug)]
 pub struct RetryScheduler {
+    /// The longest retry-after; without it, no client is given one.
     max_retry_after: Option<Span>,
+    /// The shortest retry-after: half a start target.
     min_retry_after: Span,
     random: oorandom::Rand64,
     /// End of the last slot that was assigned.
     assigned_until: Instant,
+    /// Rate of sessions that were set up.
     served: EventRate,
+    /// Rate of requests, first tries and retries alike.
     arrivals: EventRate,
-    appointments: BTreeMap<u64, Appointment>,
+    /// Retry times by client.
+    scheduled_retries: BTreeMap<u64, ScheduledRetry>,
+    /// When expired retry times were last removed.
     last_cleanup: Instant,
     /// Number of early retries that may still be accepted.
     early_budget: f64,
+    /// Totals since the scheduler was created.
     pub counters: RetryCounters,
 }
 
 /// The retry time that a client was given.
 #[derive(Clone, Copy, Debug)]
-struct Appointment {
+struct ScheduledRetry {
     retry_at: Instant,
     /// Whether a slot is reserved at that time.
     slot_reserved: bool,
@@ -81,6 +88,7 @@
 /// Exponentially decaying event rate.
 #[derive(Debug)]
 struct EventRate {
+    /// Number of events, with the weight that they had at `updated_at`.
     count: f64,
     updated_at: Instant,
     started_at: Instant,
@@ -91,10 +99,10 @@
 /// Smallest fraction of the served rate that is divided into slots: some of the unscheduled arrivals are
 /// rejected as well, and some clients never return.
 const MIN_SLOT_RATE_FRACTION: f64 = 0.5;
-/// Seconds after its retry time for which a slot remains reserved.
+/// Seconds after its retry time for which a slot remains reserved and the retry time remains stored.
 const SLOT_DURATION_SECONDS: f64 = 2.0;
 /// Maximum number of clients whose retry time is stored.
-const MAX_APPOINTMENTS: usize = 16_384;
+const MAX_SCHEDULED_RETRIES: usize = 16_384;
 /// Early retries accepted per request of a new client.
 const EARLY_RETRIES_PER_NEW_CLIENT: f64 = 0.1;
 /// Maximum of the accumulated budget for early retries.
@@ -126,6 +134,7 @@
 }
 
 impl RetryScheduler {
+    /// Creates a scheduler; `start_target` is the shortest start target of any service group.
     pub fn new(max_retry_after: Option<Span>, start_target: Span, seed: u64, now: Instant) -> RetryScheduler {
         let random = oorandom::Rand64::new(u128::from(seed) << 1);
         RetryScheduler {
@@ -135,7 +144,7 @@
             assigned_until: now,
             served: EventRate::new(now),
             arrivals: EventRate::new(now),
-            appointments: BTreeMap::new(),
+            scheduled_retries: BTreeMap::new(),
             last_cleanup: now,
             early_budget: 0.0,
             counters: RetryCounters::default(),
@@ -145,7 +154,8 @@
     /// Records a request and classifies it by the retry time that its client was given.
     pub fn on_arrival(&mut self, client: u64, now: Instant) -> Arrival {
         self.arrivals.record(now);
-        let Some(&Appointment { retry_at, slot_reserved, .. }) = self.appointments.get(&client) else {
+        let Some(&ScheduledRetry { retry_at, slot_reserved, .. }) = self.scheduled_retries.get(&client)
+        else {
             // Only new clients add to the budget, so that a storm of retries alone gets nothing.
             self.early_budget = (self.early_budget + EARLY_RETRIES_PER_NEW_CLIENT).min(MAX_EARLY_BUDGET);
             return Arrival::New;
@@ -169,19 +179,21 @@
     /// Records that a client's request was admitted, and drops the retry time that the client was given.
     pub fn on_admitted(&mut self, client: u64, in_slot: bool) {
         self.counters.admitted += u64::from(in_slot);
-        self.appointments.remove(&client);
+        self.scheduled_retries.remove(&client);
     }
 
-    fn store(&mut self, client: u64, appointment: Appointment, now: Instant) {
+    /// Stores a client's retry time if the table has room, and removes expired ones once a second.
+    fn store(&mut self, client: u64, scheduled: ScheduledRetry, now: Instant) {
         if now - self.last_cleanup > Span::from_secs(1.0) {
             self.last_cleanup = now;
-            self.appointments.retain(|_, appointment| {
-                now - appointment.retry_at <= Span::from_secs(SLOT_DURATION_SECONDS)
-            });
+            self.scheduled_retries
+                .retain(|_, scheduled| now - scheduled.retry_at <= Span::from_secs(SLOT_DURATION_SECONDS));
         }
-        if self.appointments.len() < MAX_APPOINTMENTS || self.appointments.contains_key(&client) {
-            self.counters.slots_reserved += u64::from(appointment.slot_reserved);
-            self.appointments.insert(client, appointment);
+        if self.scheduled_retries.len() < MAX_SCHEDULED_RETRIES
+            || self.scheduled_retries.contains_key(&client)
+        {
+            self.counters.slots_reserved += u64::from(scheduled.slot_reserved);
+            self.scheduled_retries.insert(client, scheduled);
         }
     }
 
@@ -197,12 +209,12 @@
         let served = self.served.per_second(now);
         let slot_rate =
             (served - (self.arrivals.per_second(now) - served).max(0.0)).max(served * MIN_SLOT_RATE_FRACTION);
-        let previous = self.appointments.get(&client).copied();
-        let rejections = previous.map_or(0, |appointment| appointment.rejections);
+        let previous = self.scheduled_retries.get(&client).copied();
+        let rejections = previous.map_or(0, |scheduled| scheduled.rejections);
         let jitter = self.random.rand_float();
         // A client that returned early is given the same time again, so that it gains nothing.
-        if let Some(appointment) = previous.filter(|appointment| appointment.retry_at > now) {
-            return Some((appointment.retry_at - now).min(max_retry_after));
+        if let Some(scheduled) = previous.filter(|scheduled| scheduled.retry_at > now) {
+            return Some((scheduled.retry_at - now).min(max_retry_after));
         }
         self.assigned_until = self.assigned_until.max(now + self.min_retry_after);
         let slot_delay = self.assigned_until - now;
@@ -213,7 +225,7 @@
             let delay = max_retry_after * (0.5 + 0.5 * jitter);
             self.store(
                 client,
-                Appointment { retry_at: now + delay, slot_reserved: false, rejections: rejections + 1 },
+                ScheduledRetry { retry_at: now + delay, slot_reserved: false, rejections: rejections + 1 },
                 now,
             );
             return Some(delay);
@@ -222,7 +234,7 @@
         let delay = ((slot_delay + backoff) * (1.0 + JITTER_FRACTION * jitter)).min(max_retry_after);
         self.store(
             client,
-            Appointment { retry_at: now + delay, slot_reserved: true, rejections: rejections + 1 },
+            ScheduledRetry { retry_at: now + delay, slot_reserved: true, rejections: rejections + 1 },
             now,
         );
         Some(delay)
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -28,6 +28,7 @@
 /// One media node in a list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeEntry {
+    /// Name of the node, unique within its list.
     pub name: String,
     /// Address of the RTSP server.
     pub address: SocketAddr,
@@ -37,8 +38,10 @@
     /// Identity of the node where directors reach it under different addresses; by default it is the address.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub id: Option<String>,
+    /// Zone, model, cell, weight and start time.
     #[serde(rename = "place")]
     pub info: NodeInfo,
+    /// Whether the node takes sessions.
     #[serde(rename = "standing")]
     pub state: NodeState,
 }
@@ -68,24 +71,32 @@
 pub struct NodeList {
     /// Version of the list, which increases with each change.
     pub generation: u64,
+    /// All nodes of the fleet; nodes without an entry are gone.
     pub entries: Vec<NodeEntry>,
 }
 
 /// Why a list was rejected. The current list remains in force.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ListError {
+    /// The list is older than the current one.
     #[error("generation {offered} is older than {current}, which is in force")]
     StaleGeneration { offered: u64, current: u64 },
+    /// The list differs from the current one but has the same generation.
     #[error("generation {generation} was already received with other entries")]
     ConflictingGeneration { generation: u64 },
+    /// Two entries have one address.
     #[error("{first} and {second} have the same address, {address}")]
     DuplicateAddress { first: String, second: String, address: SocketAddr },
+    /// Two entries have one name.
     #[error("two nodes are named {name}")]
     DuplicateName { name: String },
+    /// Two entries result in one node id.
     #[error("{first} and {second} have the same id")]
     DuplicateId { first: String, second: String },
+    /// A weight is not finite or not positive.
     #[error("the weight of {name} is {weight}, but must be finite and greater than 0")]
     InvalidWeight { name: String, weight: String },
+    /// The list has no entries.
     #[error("the list contains no nodes")]
     Empty,
 }
@@ -93,6 +104,7 @@
 /// Number of nodes that changed with a list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MembershipChanges {
+    /// Nodes that no earlier list contained.
     pub added: usize,
     /// Nodes with a later start time than before.
     pub restarted: usize,
@@ -106,24 +118,28 @@
 #[derive(Debug, Default)]
 pub struct Membership {
     current: Option<NodeList>,
-    /// Includes nodes that are draining or gone, as connections to them go on.
+    /// Includes nodes that are draining or gone, as connections to them are still in use.
     nodes: BTreeMap<NodeId, NodeEntry>,
 }
 
 impl Membership {
+    /// Returns the current list; none before the first one was accepted.
     pub fn list(&self) -> Option<&NodeList> {
         self.current.as_ref()
     }
 
+    /// Returns the last known entry of a node, which may be draining or gone.
     pub fn entry(&self, node: NodeId) -> Option<&NodeEntry> {
         self.nodes.get(&node)
     }
 
+    /// Returns the last known entries of all nodes, including those that are draining or gone.
     pub fn nodes(&self) -> impl Iterator<Item = (&NodeId, &NodeEntry)> {
         self.nodes.iter()
     }
 
-    /// Replaces the current list. Returns `Ok(None)` if the list is the current one.
+    /// Replaces the current list and returns what changed, or `Ok(None)` if the list equals the current one.
+    /// On an error the current list remains.
     pub fn update(&mut self, list: NodeList) -> Result<Option<MembershipChanges>, ListError> {
         validate(&list)?;
         if let Some(current) = &self.current {
--- a/crates/discovery/src/sources.rs
+++ b/crates/discovery/src/sources.rs
@@ -8,15 +8,15 @@
 //!   the worst that any source reports. A drain reported by any source therefore holds until the same source
 //!   revokes it in a newer list.
 //! - A list that *leaves out* many nodes at once that were ready before is held back with a warning. It is
-//!   accepted if it stays the same for a while, or if its writer confirms the number of nodes. States that it
-//!   reports for nodes by name apply at once all the same, so that a reported drain is always honoured (rule
+//!   accepted if it stays the same for a while, or if its writer confirms the number of nodes. Nodes that it
+//!   reports by name as draining or gone are so at once, as a reported drain must always be honoured (rule
 //!   3).
 //!
-//! Alternatives considered for the last rule: rejecting such a list until an operator acts, which loses every
-//! SETUP to the missing nodes if they are really gone, at night for hours; and removing a few nodes at a
-//! time, which has the same result later and still lets a wrong list do its damage. Envoy's panic threshold
-//! and Consul's anti-flapping share the assumption of this rule: a view in which most nodes have vanished
-//! says more about the view than about the fleet.
+//! Two alternatives were rejected. To refuse such a list until an operator acts loses every SETUP to the
+//! missing nodes if they are really gone, at night for hours. To remove a few nodes at a time is slower, and
+//! a wrong list does the same damage in the end. Envoy's panic threshold and Consul's anti-flapping are based
+//! on the same assumption: a view in which most nodes have vanished says more about the view than about the
+//! fleet.
 
 use std::collections::BTreeMap;
 use std::hash::Hasher;
@@ -31,6 +31,7 @@
 /// What was read from a source.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SourceRead {
+    /// A complete list.
     List {
         list: NodeList,
         /// Number of nodes that the writer confirms to have left out.
@@ -64,6 +65,7 @@
     list: Option<NodeList>,
     /// A newer list that is held back.
     pending: Option<PendingList>,
+    /// The source could not be read the last time.
     unavailable: bool,
     /// Hash of the last reason for a rejection, so that the same fault is reported only once.
     last_rejection: Option<u64>,
@@ -73,7 +75,9 @@
 #[derive(Debug)]
 struct PendingList {
     list: NodeList,
+    /// Number of ready nodes that the list leaves out.
     left_out: usize,
+    /// When the list is accepted.
     until: Instant,
 }
 
@@ -93,6 +97,7 @@
 const MAX_LEFT_OUT_FRACTION: f64 = 0.25;
 
 impl SourceMerger {
+    /// Creates a merger for a number of sources, without a list.
     pub fn new(sources: usize, hold_time: Span) -> SourceMerger {
         let sources = (0..sources).map(|_| SourceState::default()).collect();
         SourceMerger { sources, hold_time, current: None, generation: 0 }
@@ -164,6 +169,7 @@
         events
     }
 
+    /// Accepts, holds back or rejects a list of a source.
     fn take_list(
         &mut self,
         source: SourceIndex,
@@ -262,7 +268,8 @@
     }
 }
 
-/// Checks that a list is valid and may follow the newest list of its source.
+/// Checks that a list is valid and may follow the newest list of its source; the error is the reason to
+/// reject it.
 fn check_successor(state: &SourceState, list: &NodeList) -> Result<(), String> {
     validate(list).map_err(|error| error.to_string())?;
     let newest = state.pending.as_ref().map(|pending| &pending.list).or(state.list.as_ref());
@@ -278,6 +285,7 @@
     }
 }
 
+/// Returns the worse of two states: gone is worse than draining, and draining is worse than ready.
 fn worse(one: NodeState, other: NodeState) -> NodeState {
     let rank = |state| match state {
         NodeState::Ready => 0,
--- a/crates/discovery/src/sources_tests.rs
+++ b/crates/discovery/src/sources_tests.rs
@@ -29,6 +29,7 @@
     SourceRead::List { list: NodeList { generation, entries }, leaves_out: None }
 }
 
+/// Writes events as one line; an accepted list is reduced to its generation and number of ready nodes.
 fn describe(events: &[SourceEvent]) -> String {
     let one = |event: &SourceEvent| match event {
         SourceEvent::InForce(list) => {
@@ -43,7 +44,7 @@
     if events.is_empty() { "nothing".into() } else { events.iter().map(one).collect::<Vec<_>>().join("; ") }
 }
 
-/// A merger, and a line on each call with the events it returned.
+/// A merger, and its trace: a line for each call with the events that it returned.
 struct Trace(SourceMerger, String);
 
 impl Trace {
