--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,4 +1,4 @@
-//! Each kind of id is a type of its own, so that none can stand in for another.
+//! Identifiers. Each kind is a type of its own, so that the compiler rejects one used in place of another.
 
 macro_rules! ids {
     ($($(#[$doc:meta])* $name:ident($raw:ty);)*) => {$(
@@ -11,29 +11,32 @@
 }
 
 ids! {
-    /// One request for a session, and the session that comes of it.
+    /// A viewer's request for a session, and the session that results from it.
     SessionId(u64);
-    /// A media node: address and port, opaque.
+    /// A media node; an opaque number derived from its address and port.
     NodeId(u64);
-    /// What is watched.
+    /// A title that viewers can watch.
     TitleId(u64);
-    /// A service group, by its place in the headend's list.
+    /// A service group, as an index into
+    /// [`DirectorConfig::groups`](crate::interface::DirectorConfig::groups).
     GroupId(usize);
+    /// An availability zone.
     ZoneId(u8);
-    /// A kind of machine, by its place in the headend's list.
+    /// A hardware model of media nodes, as an index into
+    /// [`DirectorConfig::max_streams`](crate::interface::DirectorConfig::max_streams).
     ModelId(u8);
-    /// Where a node stands among those that hold titles.
+    /// A placement cell: titles are stored on the nodes of a run of consecutive cells.
     CellId(u16);
-    /// A step of the ladder of rates, from 0.
+    /// A step of the bit rate ladder; 0 is the lowest.
     Rung(u8);
-    /// The number of a SETUP within its session, from 0.
+    /// The number of a SETUP attempt within its session, from 0.
     SetupNumber(u16);
-    /// A wake-up that the director asked for.
+    /// A timer that the director has set.
     TimerId(u32);
 }
 
-/// An even draw from 0 to 1 that is the same at all directors.
-pub fn spread(title: u64, node: u64) -> f64 {
+/// Returns a hash of a title and a node that is uniform in [0, 1) and equal at all directors.
+pub fn uniform_hash(title: u64, node: u64) -> f64 {
     let mut x = title ^ node.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
     x = (x ^ (x >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,52 +1,58 @@
-//! What a director is told at start and what it writes its decisions to.
+//! The data that a director exchanges with its host: the configuration and the events that it receives, and
+//! the sink that receives its decisions.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{CellId, GroupId, ModelId, NodeId, Rung, SessionId, SetupNumber, TimerId, TitleId, ZoneId};
 use crate::time::{Instant, Span};
 
-/// Takes the decisions of a round, in the order in which they are made.
+/// Receives the decisions of a round in the order in which they are made.
 pub trait DecisionSink {
-    /// Asks a node to start the session; the SETUP is given up at `until`.
-    fn send_setup(&mut self, sess: SessionId, node: NodeId, until: Instant);
-    /// Sets the session's rung, before its SETUP or while it plays.
-    fn set_rung(&mut self, sess: SessionId, rung: Rung);
-    /// Busy reply: final, and harmless to ask again, where told so not before `retry_after`.
-    fn reply_busy(&mut self, sess: SessionId, retry_after: Option<Span>);
-    /// Final answer that says nothing of whether a SETUP ran.
-    fn tear_down(&mut self, sess: SessionId);
-    fn cancel_setup(&mut self, sess: SessionId, setup: SetupNumber);
+    /// Sends a SETUP for the session to a node; the attempt times out at `deadline`.
+    fn send_setup(&mut self, session: SessionId, node: NodeId, deadline: Instant);
+    /// Sets the session's rung, before its SETUP is sent or while it plays.
+    fn set_rung(&mut self, session: SessionId, rung: Rung);
+    /// Sends the busy reply: a final answer, after which the viewer may safely ask again. With `retry_after`,
+    /// the viewer is asked to wait at least that long.
+    fn reply_busy(&mut self, session: SessionId, retry_after: Option<Span>);
+    /// Tears the session down: a final answer that leaves open whether a SETUP has run.
+    fn tear_down(&mut self, session: SessionId);
+    /// Cancels a SETUP that is in flight.
+    fn cancel_setup(&mut self, session: SessionId, setup: SetupNumber);
+    /// Sends a probe to a node; its result arrives as
+    /// [`Round::probe_finished`](crate::policy::Round::probe_finished).
     fn probe_node(&mut self, node: NodeId);
-    fn set_timer(&mut self, ticket: TimerId, after: Span);
-    /// Subscribes to changes of the list of media nodes, or no longer.
-    fn watch_node_list(&mut self, on: bool);
+    /// Sets a timer; it arrives as [`Round::timer_fired`](crate::policy::Round::timer_fired).
+    fn set_timer(&mut self, timer: TimerId, after: Span);
+    /// Subscribes to updates of the list of media nodes, or unsubscribes.
+    fn watch_node_list(&mut self, enabled: bool);
 
-    // No decision asks for these yet; a writer that can't do one leaves it out.
+    // The policy makes none of the following decisions yet, so a sink need not implement them.
 
-    /// Asks for the whole list once.
+    /// Requests the whole list of media nodes once.
     fn fetch_node_list(&mut self) {}
-    /// Ends a session that plays; its viewer comes back to this director after a short gap.
-    fn reconnect_viewer(&mut self, _sess: SessionId) {}
-    /// Closes idle connections to a node.
+    /// Ends a playing session such that its viewer reconnects to this director after a short interruption.
+    fn reconnect_viewer(&mut self, _session: SessionId) {}
+    /// Closes the idle connections to a node.
     fn close_idle_connections(&mut self, _node: NodeId) {}
-    /// A short message to one director, by its number, or to all.
+    /// Sends a short message to one director, given by its index, or to all.
     fn send_message(&mut self, _director: Option<u16>, _message: &[u8]) {}
-    /// A line for the log.
+    /// Writes a line to the log.
     fn log(&mut self, _line: &str) {}
 }
 
-/// What a second SETUP may do once the first may have run.
+/// Whether a session may be set up again once an earlier SETUP may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// No harm at any node.
+    /// SETUP is idempotent: a retry is safe at any node.
     Safe,
-    /// No harm within the reach and the repeat window.
+    /// Nodes deduplicate SETUPs: a retry is safe within the retry scope and the retry window.
     Dedup,
-    /// Never.
+    /// A retry is never safe.
     Fragile,
 }
 
-/// How far from its first node a dedup session may be set up again.
+/// The nodes, relative to the first one, at which a session with [`RetrySafety::Dedup`] may be set up again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryScope {
     Anywhere,
@@ -54,36 +60,44 @@
     SameCell,
 }
 
+/// The configuration of a service group.
 #[derive(Clone, Debug)]
 pub struct ServiceGroup {
+    /// Time from the request within which a session should play.
     pub start_target: Span,
+    /// Utility of a session of this group, relative to those of other groups.
     pub utility: f64,
     pub retry_safety: RetrySafety,
     pub retry_scope: RetryScope,
+    /// Time after the first SETUP within which nodes deduplicate a retry.
     pub retry_window: Span,
+    /// Whether viewers of one title share its stream at a node.
     pub live: bool,
-    /// Its rates over those of the ladder.
+    /// Factor from the rates of the ladder to those of this group.
     pub rate_scale: f64,
+    /// The lowest rung at which a session may play.
     pub floor_rung: Rung,
+    /// The highest rung at which a session may play.
     pub top_rung: Rung,
-    /// Sessions of one title that a director may hold; 0 for no cap.
+    /// Maximum number of sessions of one title at a director; 0 for no limit.
     pub seats: usize,
 }
 
-/// A figure that a media node reports.
+/// A metric of a media node's load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadMetric {
-    /// Streams that run or are set up.
+    /// Number of streams that play or are being set up.
     Streams,
-    /// What is asked of the link over what it gives.
+    /// Demand on the node's link, as a fraction of its capacity.
     Link,
-    /// The same for the uplink of the rack.
+    /// Demand on the uplink of the node's rack, as a fraction of its capacity.
     Uplink,
-    /// Any other.
+    /// A metric that the director ignores.
     Other,
 }
 
-/// The ration of SETUPs beyond a session's first.
+/// The budget of retries, that is of SETUPs beyond a session's first. Within any window there may be
+/// `base_retries` plus `retries_per_session` for each session that was requested in it.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     pub base_retries: f64,
@@ -91,100 +105,107 @@
     pub window: Span,
 }
 
-/// What is read when a director starts.
+/// The configuration that a director reads at its start.
 #[derive(Clone, Debug)]
 pub struct DirectorConfig {
     pub seed: u64,
+    /// The director's own zone.
     pub zone: ZoneId,
-    /// Our number among the directors, from 0.
+    /// The index of this director among all directors, from 0.
     pub director_index: usize,
     pub director_count: usize,
     pub groups: Vec<ServiceGroup>,
-    /// kB a second and what it earns, for each rung.
+    /// Rate in kB/s and utility of each rung, lowest first.
     pub ladder: Vec<(f64, f64)>,
-    /// Streams at most, for each kind of machine.
+    /// Maximum number of streams of a node, by hardware model.
     pub max_streams: Vec<f64>,
     pub cell_count: u16,
     pub rack_count: u16,
-    /// kB a second for each unit of a node's weight.
+    /// Link capacity in kB/s for each unit of a node's weight.
     pub link_kb_per_s_per_weight: f64,
-    /// kB a second of a rack's uplink, on average.
+    /// Mean capacity of a rack's uplink in kB/s; 0 if unknown.
     pub uplink_kb_per_s: f64,
-    /// What a further viewer of a live stream adds, as a part of its rate.
+    /// What a further viewer of a live stream adds to the load of a node, as a fraction of the stream's rate.
     pub live_join_fraction: f64,
-    /// The part of the operators' goal that goes by the worst-served service group.
+    /// The fraction of the operators' objective that depends on the worst-served service group alone.
     pub worst_group_weight: f64,
-    /// A node says that it is full while so many times its link is asked for; 0 where it never does for its link.
+    /// The demand on its link, over its capacity, at which a node replies that it is full; 0 if it never does
+    /// so on account of its link.
     pub full_link_demand: f64,
-    /// How late delivered shares are told.
+    /// Delay of reports of the delivered share.
     pub report_delay: Span,
+    /// The metrics of a load report, in their order.
     pub load_metrics: Vec<LoadMetric>,
-    /// Reports come only when probed for.
+    /// Whether load reports arrive only in response to probes.
     pub probe_only: bool,
     pub may_probe: bool,
-    /// What one probe a session costs, in parts of all utility.
+    /// Cost of one probe for each session, as a fraction of the total utility.
     pub probe_cost: f64,
     pub may_cancel: bool,
-    /// The longest time a viewer can be asked to stay away; none where it can't be told.
+    /// The longest delay that a busy reply can ask a viewer to wait; none if it can't carry one.
     pub max_retry_after: Option<Span>,
     pub max_setups_per_session: usize,
     pub retry_budget: Option<RetryBudget>,
-    /// A node that has just started begins at this part of its pace,
+    /// Slow start: the fraction of its capacity that a node has at its start.
     pub slow_start_initial_fraction: f64,
-    /// rising to all of it over this time.
+    /// Slow start: the time after which a node has its full capacity.
     pub slow_start_duration: Span,
-    /// It falls over at this multiple of its pace
+    /// Slow start: a node whose pace of SETUPs stays at this multiple of `max_streams` per `slow_start_duration`
+    /// throughout `overload_window` becomes overloaded.
     pub overload_multiple: f64,
-    /// for this long.
     pub overload_window: Span,
-    /// Where the list must be asked for: how soon again at the latest.
+    /// Where the list of nodes has to be requested: the longest time between two requests.
     pub node_list_max_age: Option<Span>,
 }
 
-/// What the list tells of a media node.
+/// The attributes of a media node in the list of nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeInfo {
     pub zone: ZoneId,
     pub model: ModelId,
     pub cell: CellId,
+    /// Link capacity in units of [`DirectorConfig::link_kb_per_s_per_weight`].
     pub weight: f64,
-    /// When it last started; none if long ago.
+    /// When the node last started; none if it is known to be past its slow start.
     pub started: Option<Instant>,
 }
 
-/// What a viewer wants.
+/// A viewer's request for a session.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SessionRequest {
     pub group: GroupId,
     pub title: TitleId,
-    /// The highest rung that the viewer can use.
+    /// The highest rung that the viewer can play.
     #[serde(rename = "top")]
     pub top_rung: Rung,
-    /// First of the cells in a row that hold the title, and how many.
+    /// The first of the consecutive cells that hold the title.
     #[serde(rename = "home")]
     pub first_cell: CellId,
+    /// Number of cells that hold the title.
     #[serde(rename = "copies")]
     pub cell_count: u16,
-    /// Until the setup timeout of this try.
+    /// Time until the viewer gives up on this request.
     #[serde(rename = "patience")]
     pub setup_timeout: Span,
 }
 
-/// How a SETUP, or the session that came of it, ended.
+/// The outcome of a SETUP attempt, or of the session that it started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptOutcome {
+    /// The session played and has ended.
     Played,
-    /// Turned away unseen.
+    /// The node rejected the SETUP for lack of capacity; it did not run.
     Full,
-    /// No connection: it never ran.
+    /// No connection to the node could be made; the SETUP did not run.
     Unreachable,
-    /// Never sent.
+    /// The SETUP was not sent.
     Unsent,
-    /// The node answered with a fault; it may have run.
+    /// The node replied with an error; the SETUP may have run.
     Fault,
-    /// No answer in time; it may run.
+    /// The attempt timed out; the SETUP may run.
     Silent,
-    /// The connection was lost; it may have run.
+    /// The connection was lost; the SETUP may have run.
     Lost,
+    /// The attempt was cancelled.
     Cancelled,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,5 @@
-//! Decides who plays, where and at what quality. Start reading at [`policy`].
+//! Load balancing decisions of a director: which sessions are admitted, on which media node, and at which
+//! rung of the bit rate ladder. Start reading at [`policy`].
 
 pub mod ids;
 pub mod interface;
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! What a director holds between rounds. Nothing here decides.
+//! The state that a director keeps between rounds. No decisions are made here.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -6,468 +6,502 @@
 use crate::interface::{DirectorConfig, LoadMetric, NodeInfo, RetryBudget, ServiceGroup, SessionRequest};
 use crate::time::{Instant, Span};
 
-/// The figures that decisions use, drawn once from what is read at start.
-pub struct Plant {
+/// The parameters of the policy, derived once from the configuration.
+pub struct PolicyParams {
     pub zone: ZoneId,
-    pub directors: f64,
-    /// The turns at cold nodes that are ours, of so many.
-    pub turns: (Vec<usize>, f64),
-    pub terms: Vec<Terms>,
-    /// What each rung earns.
-    pub worth: Vec<f64>,
-    /// kB a second of the lowest rung and of the middle one.
-    pub lowest: f64,
-    pub middle: f64,
-    /// Streams at most, for each kind of machine.
-    places: Vec<f64>,
-    pub cells: u16,
-    pub racks: usize,
-    link_unit: f64,
-    /// kB a second of a rack's uplink on average; 0 where none is told.
-    pub uplink: f64,
-    pub join: f64,
-    pub worst_group: f64,
-    /// What is asked of a full node's link at least, over what it gives.
-    pub full_at: f64,
-    pub notice: Span,
-    pub gauges: Vec<LoadMetric>,
-    /// Probes tell of load, and nothing else does.
+    pub director_count: f64,
+    /// The turns in which this director may send SETUPs to nodes in slow start, and the number of turns in a
+    /// cycle.
+    pub slow_start_turns: (Vec<usize>, f64),
+    pub groups: Vec<GroupParams>,
+    /// Utility of each rung.
+    pub rung_utility: Vec<f64>,
+    /// Rates of the lowest and of the middle rung, in kB/s.
+    pub lowest_rate: f64,
+    pub middle_rate: f64,
+    /// Maximum number of streams of a node, by hardware model.
+    max_streams: Vec<f64>,
+    pub cell_count: u16,
+    pub rack_count: usize,
+    link_kb_per_s_per_weight: f64,
+    /// Mean capacity of a rack's uplink in kB/s; 0 if unknown.
+    pub uplink_kb_per_s: f64,
+    pub live_join_fraction: f64,
+    pub worst_group_weight: f64,
+    /// Least demand on the link of a node that replies that it is full, over the link's capacity.
+    pub full_link_demand: f64,
+    pub report_delay: Span,
+    pub load_metrics: Vec<LoadMetric>,
+    /// Whether probes return load reports.
     pub may_probe: bool,
-    pub blind: bool,
-    /// What one probe a session costs, in parts of all utility.
-    pub probe_price: f64,
+    /// Whether load reports arrive only in response to probes.
+    pub probe_only: bool,
+    /// Cost of one probe for each session, as a fraction of the total utility.
+    pub probe_cost: f64,
     pub may_cancel: bool,
-    pub retry_after: Option<Span>,
-    pub depth: usize,
-    pub ration: Option<RetryBudget>,
-    /// Further SETUPs that one node may be sent by us, and within what; as the fleet has it.
-    pub repeats: Option<(f64, Span)>,
-    pub cold_from: f64,
-    pub warm_after: Span,
-    /// Set-ups for each place that push a cold node over, within `fall_span`.
-    pub fall_budget: f64,
-    pub fall_span: Span,
-    /// The shortest start target.
-    pub target: Span,
-    pub ask_list: Option<Span>,
+    pub max_retry_after: Option<Span>,
+    pub max_setups_per_session: usize,
+    pub retry_budget: Option<RetryBudget>,
+    /// Maximum number of retries that this director may send to one node within a window: its part of a limit
+    /// on all directors together.
+    pub node_retry_limit: Option<(f64, Span)>,
+    pub slow_start_initial_fraction: f64,
+    pub slow_start_duration: Span,
+    /// SETUPs per stream of its maximum that overload a node at full capacity within `overload_window`.
+    pub overload_setups_per_stream: f64,
+    pub overload_window: Span,
+    /// The shortest start target of any group.
+    pub shortest_start_target: Span,
+    pub node_list_max_age: Option<Span>,
 }
 
-impl Plant {
-    pub fn of(head: &DirectorConfig) -> Plant {
-        let mean = head.groups.iter().map(|g| g.utility).sum::<f64>() / head.groups.len().max(1) as f64;
-        let ladder = &head.ladder;
+impl PolicyParams {
+    /// Derives the parameters from the configuration.
+    pub fn new(config: &DirectorConfig) -> PolicyParams {
+        let mean_utility =
+            config.groups.iter().map(|g| g.utility).sum::<f64>() / config.groups.len().max(1) as f64;
+        let ladder = &config.ladder;
         let middle = ladder.len().saturating_sub(1) / 2;
-        let earns = |r: usize| {
-            let (kb, worth) = if r == 0 { (0.0, 0.0) } else { ladder[r - 1] };
-            (ladder[r].1 - worth).max(1e-9) / (ladder[r].0 - kb).max(1e-9)
+        let marginal_utility = |r: usize| {
+            let (rate, utility) = if r == 0 { (0.0, 0.0) } else { ladder[r - 1] };
+            (ladder[r].1 - utility).max(1e-9) / (ladder[r].0 - rate).max(1e-9)
         };
-        let dear = |r| ladder[middle].1.max(1e-9) / ladder[middle].0.max(1e-9) / earns(r);
-        let highest = |g: &ServiceGroup| ladder.get(usize::from(g.top_rung.0)).map_or(0.0, |&(kb, _)| kb);
-        let terms = |g: &ServiceGroup| Terms {
-            dear: (0..ladder.len()).map(dear).collect(),
-            group: g.clone(),
-            rates: head.ladder.iter().map(|&(kb, _)| kb * g.rate_scale).collect(),
-            stake: if mean > 0.0 { g.utility / mean } else { 1.0 },
-            need: highest(g)
-                / (head.groups.iter().map(highest).sum::<f64>() / head.groups.len() as f64).max(1e-9),
+        let marginal_cost = |r| ladder[middle].1.max(1e-9) / ladder[middle].0.max(1e-9) / marginal_utility(r);
+        let top_rate =
+            |g: &ServiceGroup| ladder.get(usize::from(g.top_rung.0)).map_or(0.0, |&(rate, _)| rate);
+        let group_params = |g: &ServiceGroup| GroupParams {
+            marginal_cost: (0..ladder.len()).map(marginal_cost).collect(),
+            config: g.clone(),
+            rates: config.ladder.iter().map(|&(rate, _)| rate * g.rate_scale).collect(),
+            relative_utility: if mean_utility > 0.0 { g.utility / mean_utility } else { 1.0 },
+            relative_rate: top_rate(g)
+                / (config.groups.iter().map(top_rate).sum::<f64>() / config.groups.len() as f64).max(1e-9),
         };
-        Plant {
-            zone: head.zone,
-            directors: head.director_count.max(1) as f64,
-            turns: (vec![head.director_index], head.director_count.max(1) as f64),
-            repeats: None,
-            terms: head.groups.iter().map(terms).collect(),
-            worth: head.ladder.iter().map(|&(_, worth)| worth).collect(),
-            lowest: ladder.first().map_or(0.0, |&(kb, _)| kb),
-            middle: ladder.get(middle).map_or(0.0, |&(kb, _)| kb),
-            places: head.max_streams.clone(),
-            cells: head.cell_count.max(1),
-            racks: usize::from(head.rack_count.max(1)),
-            link_unit: head.link_kb_per_s_per_weight,
-            uplink: head.uplink_kb_per_s,
-            join: head.live_join_fraction,
-            worst_group: head.worst_group_weight,
-            full_at: if head.full_link_demand > 0.0 { head.full_link_demand } else { 1.0 },
-            notice: head.report_delay,
-            gauges: head.load_metrics.clone(),
-            may_probe: head.may_probe && !head.load_metrics.is_empty(),
-            blind: head.probe_only,
-            probe_price: head.probe_cost,
-            may_cancel: head.may_cancel,
-            retry_after: head.max_retry_after,
-            depth: head.max_setups_per_session,
-            ration: head.retry_budget,
-            cold_from: head.slow_start_initial_fraction,
-            warm_after: head.slow_start_duration,
-            fall_budget: head.overload_multiple * (head.overload_window / head.slow_start_duration),
-            fall_span: head.overload_window,
-            target: head.groups.iter().map(|g| g.start_target).min().unwrap_or(Span::from_secs(1.0)),
-            ask_list: head.node_list_max_age,
+        PolicyParams {
+            zone: config.zone,
+            director_count: config.director_count.max(1) as f64,
+            slow_start_turns: (vec![config.director_index], config.director_count.max(1) as f64),
+            node_retry_limit: None,
+            groups: config.groups.iter().map(group_params).collect(),
+            rung_utility: config.ladder.iter().map(|&(_, utility)| utility).collect(),
+            lowest_rate: ladder.first().map_or(0.0, |&(rate, _)| rate),
+            middle_rate: ladder.get(middle).map_or(0.0, |&(rate, _)| rate),
+            max_streams: config.max_streams.clone(),
+            cell_count: config.cell_count.max(1),
+            rack_count: usize::from(config.rack_count.max(1)),
+            link_kb_per_s_per_weight: config.link_kb_per_s_per_weight,
+            uplink_kb_per_s: config.uplink_kb_per_s,
+            live_join_fraction: config.live_join_fraction,
+            worst_group_weight: config.worst_group_weight,
+            full_link_demand: if config.full_link_demand > 0.0 { config.full_link_demand } else { 1.0 },
+            report_delay: config.report_delay,
+            load_metrics: config.load_metrics.clone(),
+            may_probe: config.may_probe && !config.load_metrics.is_empty(),
+            probe_only: config.probe_only,
+            probe_cost: config.probe_cost,
+            may_cancel: config.may_cancel,
+            max_retry_after: config.max_retry_after,
+            max_setups_per_session: config.max_setups_per_session,
+            retry_budget: config.retry_budget,
+            slow_start_initial_fraction: config.slow_start_initial_fraction,
+            slow_start_duration: config.slow_start_duration,
+            overload_setups_per_stream: config.overload_multiple
+                * (config.overload_window / config.slow_start_duration),
+            overload_window: config.overload_window,
+            shortest_start_target: config
+                .groups
+                .iter()
+                .map(|g| g.start_target)
+                .min()
+                .unwrap_or(Span::from_secs(1.0)),
+            node_list_max_age: config.node_list_max_age,
         }
     }
 
-    pub fn of_group(&self, s: &Sitting) -> &Terms {
-        &self.terms[s.want.group.0]
+    /// Returns the parameters of the session's service group.
+    pub fn group_of(&self, session: &Session) -> &GroupParams {
+        &self.groups[session.request.group.0]
     }
 
+    /// Returns the highest rung of the ladder.
     pub fn top_rung(&self) -> u8 {
-        (self.worth.len().saturating_sub(1)).min(usize::from(u8::MAX)) as u8
+        (self.rung_utility.len().saturating_sub(1)).min(usize::from(u8::MAX)) as u8
     }
 
-    /// The highest rung that this viewer may be given.
-    pub fn top(&self, s: &Sitting) -> u8 {
-        s.want.top_rung.0.min(self.of_group(s).group.top_rung.0)
+    /// Returns the highest rung at which the session may play.
+    pub fn top_rung_of(&self, session: &Session) -> u8 {
+        session.request.top_rung.0.min(self.group_of(session).config.top_rung.0)
     }
 
-    /// kB a second that the sessions chosen ask for in all; viewers of one live stream share it.
-    pub fn asked<'a>(&self, sess: impl Iterator<Item = &'a Sitting>) -> f64 {
+    /// Returns the total demand of the given sessions in kB/s. Viewers of one live stream share it.
+    pub fn demand<'a>(&self, sessions: impl Iterator<Item = &'a Session>) -> f64 {
         let mut streams = BTreeSet::new();
-        let mut asked = 0.0;
-        for s in sess {
-            let terms = self.of_group(s);
-            let first = !terms.group.live || streams.insert((s.node, s.want.title, s.want.group, s.rung));
-            asked += terms.rates[usize::from(s.rung)] * if first { 1.0 } else { self.join };
+        let mut demand = 0.0;
+        for s in sessions {
+            let group = self.group_of(s);
+            let first =
+                !group.config.live || streams.insert((s.node, s.request.title, s.request.group, s.rung));
+            demand += group.rates[usize::from(s.rung)] * if first { 1.0 } else { self.live_join_fraction };
         }
-        asked
+        demand
     }
 }
 
-/// Figures of a service group.
-pub struct Terms {
-    pub group: ServiceGroup,
-    /// kB a second of each rung.
+/// The parameters of a service group.
+pub struct GroupParams {
+    pub config: ServiceGroup,
+    /// Rate of each rung in kB/s.
     pub rates: Vec<f64>,
-    /// What the middle rung earns for its kB, over what the last kB of each rung earn.
-    pub dear: Vec<f64>,
-    /// Its utility over that of the average group.
-    pub stake: f64,
-    /// The rate of its highest rung over that of the average group, its scale left out.
-    pub need: f64,
+    /// By rung: the utility per kB/s of the middle rung, over that of the last step up to this rung. It grows
+    /// as the step yields less utility.
+    pub marginal_cost: Vec<f64>,
+    /// Utility of the group over the mean of all groups.
+    pub relative_utility: f64,
+    /// Rate of the group's top rung over the mean of all groups, both before `rate_scale`.
+    pub relative_rate: f64,
 }
 
-/// One session, from its request to its last outcome.
+/// A session, from its request to its last outcome.
 #[derive(Clone)]
-pub struct Sitting {
-    pub want: SessionRequest,
-    pub asked: Instant,
-    pub until: Instant,
+pub struct Session {
+    pub request: SessionRequest,
+    pub requested_at: Instant,
+    /// When the viewer's setup timeout expires.
+    pub deadline: Instant,
     pub rung: u8,
-    pub told_rung: Option<u8>,
+    /// The rung that the sink was last given.
+    pub announced_rung: Option<u8>,
+    /// Row of the node that the session plays at or is being set up at.
     pub node: Option<usize>,
-    pub setups: u16,
-    /// When the SETUP that is out was sent.
-    pub out: Option<Instant>,
-    pub plays: bool,
-    /// It has its final answer; only an outcome is missing.
+    pub setup_count: u16,
+    /// When the SETUP that is in flight was sent.
+    pub setup_sent_at: Option<Instant>,
+    pub playing: bool,
+    /// The session has its final answer, and only an outcome is outstanding.
     pub answered: bool,
-    pub tried: Vec<usize>,
-    /// Nodes were probed for it, and those whose answer it waits for.
-    pub looked: bool,
-    pub awaits: Vec<usize>,
-    /// Where and when a SETUP was sent that may have run.
-    pub doubt: Option<(usize, Instant)>,
-    /// When it was put on its node.
-    pub since: Instant,
-    /// From when quiet counts.
-    pub settled: Instant,
-    pub switched: Instant,
-    pub quiet: Span,
+    pub tried_nodes: Vec<usize>,
+    /// Whether nodes were probed for this session, and those whose result is outstanding.
+    pub probed: bool,
+    pub awaited_probes: Vec<usize>,
+    /// Node and sending time of the first SETUP that may have run although it failed.
+    pub uncertain_setup: Option<(usize, Instant)>,
+    /// When the session was assigned to its node.
+    pub assigned_at: Instant,
+    /// The start of the time without a shortage that counts towards an upgrade.
+    pub stable_since: Instant,
+    pub rung_changed_at: Instant,
+    /// Time without a shortage that an upgrade requires.
+    pub quiet_period: Span,
 }
 
-impl Sitting {
-    pub fn new(want: SessionRequest, now: Instant, rung: u8, quiet: Span) -> Sitting {
-        Sitting {
-            want,
-            asked: now,
-            until: now + want.setup_timeout,
+impl Session {
+    pub fn new(request: SessionRequest, now: Instant, rung: u8, quiet_period: Span) -> Session {
+        Session {
+            request,
+            requested_at: now,
+            deadline: now + request.setup_timeout,
             rung,
-            told_rung: None,
+            announced_rung: None,
             node: None,
-            setups: 0,
-            out: None,
-            plays: false,
+            setup_count: 0,
+            setup_sent_at: None,
+            playing: false,
             answered: false,
-            tried: Vec::new(),
-            looked: false,
-            awaits: Vec::new(),
-            doubt: None,
-            since: now,
-            settled: now,
-            switched: Instant::LONG_AGO,
-            quiet,
+            tried_nodes: Vec::new(),
+            probed: false,
+            awaited_probes: Vec::new(),
+            uncertain_setup: None,
+            assigned_at: now,
+            stable_since: now,
+            rung_changed_at: Instant::LONG_AGO,
+            quiet_period,
         }
     }
 
-    /// A SETUP goes out to node `i`.
-    pub fn send(&mut self, i: usize, now: Instant) {
-        (self.node, self.since, self.out) = (Some(i), now, Some(now));
-        self.setups += 1;
+    /// Records that a SETUP is sent to node `i`.
+    pub fn record_setup(&mut self, i: usize, now: Instant) {
+        (self.node, self.assigned_at, self.setup_sent_at) = (Some(i), now, Some(now));
+        self.setup_count += 1;
     }
 
-    /// Notes the rung; true if it was not told before.
-    pub fn set(&mut self, rung: u8) -> bool {
+    /// Sets the rung; returns whether it differs from the one that was last announced.
+    pub fn set_rung(&mut self, rung: u8) -> bool {
         self.rung = rung;
-        self.told_rung.replace(rung) != Some(rung)
+        self.announced_rung.replace(rung) != Some(rung)
     }
 
-    /// Whether row `i` means anything to it.
-    pub fn speaks_of(&self, i: usize) -> bool {
-        let doubts = self.doubt.is_some_and(|(first, _)| first == i);
-        self.node == Some(i) || doubts || self.tried.contains(&i) || self.awaits.contains(&i)
+    /// Returns whether the session holds a reference to row `i` of the node table.
+    pub fn references_node(&self, i: usize) -> bool {
+        let uncertain = self.uncertain_setup.is_some_and(|(first, _)| first == i);
+        self.node == Some(i) || uncertain || self.tried_nodes.contains(&i) || self.awaited_probes.contains(&i)
     }
 
-    pub fn same_seat(&self, other: &Sitting) -> bool {
-        self.want.title == other.want.title && self.want.group == other.want.group
+    /// Returns whether both sessions are of one title and one service group.
+    pub fn same_title_and_group(&self, other: &Session) -> bool {
+        self.request.title == other.request.title && self.request.group == other.request.group
     }
 }
 
-/// All sessions, with what they ask of each node kept in step.
+/// All sessions, with an index by node and the demand at each node, which are kept up to date.
 #[derive(Default)]
-pub struct Sittings {
-    all: BTreeMap<SessionId, Sitting>,
-    /// By node: our sessions there, and what they ask of its link.
-    at: Vec<BTreeSet<SessionId>>,
-    own: Vec<f64>,
+pub struct SessionTable {
+    sessions: BTreeMap<SessionId, Session>,
+    /// By node: this director's sessions there, and their demand on its link in kB/s.
+    by_node: Vec<BTreeSet<SessionId>>,
+    demand: Vec<f64>,
 }
 
-impl Sittings {
-    pub fn get(&self, id: SessionId) -> Option<&Sitting> {
-        self.all.get(&id)
+impl SessionTable {
+    pub fn get(&self, id: SessionId) -> Option<&Session> {
+        self.sessions.get(&id)
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (SessionId, &Sitting)> {
-        self.all.iter().map(|(&id, s)| (id, s))
+    pub fn iter(&self) -> impl Iterator<Item = (SessionId, &Session)> {
+        self.sessions.iter().map(|(&id, s)| (id, s))
     }
 
-    /// Our sessions at node `i`, SETUPs out included.
-    pub fn at(&self, i: usize) -> impl Iterator<Item = (SessionId, &Sitting)> {
-        self.at.get(i).into_iter().flatten().map(|id| (*id, &self.all[id]))
+    /// Returns this director's sessions at node `i`, those with a SETUP in flight included.
+    pub fn at_node(&self, i: usize) -> impl Iterator<Item = (SessionId, &Session)> {
+        self.by_node.get(i).into_iter().flatten().map(|id| (*id, &self.sessions[id]))
     }
 
-    /// What our sessions at node `i` ask of its link.
-    pub fn own(&self, i: usize) -> f64 {
-        self.own.get(i).copied().unwrap_or(0.0)
+    /// Returns the demand of this director's sessions on the link of node `i`, in kB/s.
+    pub fn demand(&self, i: usize) -> f64 {
+        self.demand.get(i).copied().unwrap_or(0.0)
     }
 
-    pub fn insert(&mut self, id: SessionId, s: Sitting) {
-        self.all.insert(id, s);
+    pub fn insert(&mut self, id: SessionId, session: Session) {
+        self.sessions.insert(id, session);
     }
 
-    pub fn remove(&mut self, plant: &Plant, id: SessionId) -> Option<Sitting> {
-        self.change(plant, id, |s| s.node = None);
-        self.all.remove(&id)
+    pub fn remove(&mut self, params: &PolicyParams, id: SessionId) -> Option<Session> {
+        self.update(params, id, |s| s.node = None);
+        self.sessions.remove(&id)
     }
 
-    /// The only way to change a session: what its nodes are asked for follows.
-    pub fn change<T>(
+    /// Changes a session and updates the index and the demand of its nodes. There is no other way to change
+    /// one.
+    pub fn update<T>(
         &mut self,
-        plant: &Plant,
+        params: &PolicyParams,
         id: SessionId,
-        how: impl FnOnce(&mut Sitting) -> T,
+        change: impl FnOnce(&mut Session) -> T,
     ) -> Option<T> {
-        let s = self.all.get_mut(&id)?;
+        let s = self.sessions.get_mut(&id)?;
         let before = (s.node, s.rung);
-        let told = how(s);
+        let result = change(s);
         let after = (s.node, s.rung);
         if before != after {
             if let Some(i) = before.0 {
-                self.at[i].remove(&id);
-                self.own[i] = plant.asked(self.at(i).map(|(_, s)| s));
+                self.by_node[i].remove(&id);
+                self.demand[i] = params.demand(self.at_node(i).map(|(_, s)| s));
             }
             if let Some(i) = after.0 {
-                if i >= self.at.len() {
-                    self.at.resize_with(i + 1, BTreeSet::new);
-                    self.own.resize(i + 1, 0.0);
+                if i >= self.by_node.len() {
+                    self.by_node.resize_with(i + 1, BTreeSet::new);
+                    self.demand.resize(i + 1, 0.0);
                 }
-                self.at[i].insert(id);
-                self.own[i] = plant.asked(self.at(i).map(|(_, s)| s));
+                self.by_node[i].insert(id);
+                self.demand[i] = params.demand(self.at_node(i).map(|(_, s)| s));
             }
         }
-        Some(told)
+        Some(result)
     }
 }
 
-/// Points in time within a span that ends now.
+/// The times of the events within a sliding window.
 #[derive(Clone, Default)]
-pub struct Recent(VecDeque<Instant>);
+pub struct EventWindow(VecDeque<Instant>);
 
-impl Recent {
-    pub fn add(&mut self, now: Instant, span: Span) {
-        while self.0.front().is_some_and(|&at| now - at > span) {
+impl EventWindow {
+    /// Records an event and forgets those before the window.
+    pub fn record(&mut self, now: Instant, window: Span) {
+        while self.0.front().is_some_and(|&at| now - at > window) {
             self.0.pop_front();
         }
         self.0.push_back(now);
     }
 
-    pub fn within(&self, now: Instant, span: Span) -> f64 {
-        self.0.iter().filter(|&&at| now - at <= span).count() as f64
+    /// Returns the number of events within the window that ends now.
+    pub fn count(&self, now: Instant, window: Span) -> f64 {
+        self.0.iter().filter(|&&at| now - at <= window).count() as f64
     }
 }
 
-/// Sessions taken, all SETUPs, and those beyond a session's first.
+/// Recent events of this director: session requests, all SETUPs, and the retries among them.
 #[derive(Default)]
-pub struct Counts {
-    pub taken: Recent,
-    pub setups: Recent,
-    pub further: Recent,
+pub struct RecentEvents {
+    pub requests: EventWindow,
+    pub setups: EventWindow,
+    pub retries: EventWindow,
 }
 
-/// Declares parallel arrays with what a new row starts with.
-macro_rules! arrays {
-    ($(#[$doc:meta])* $name:ident($($more:ident: $whole:ty),*) {
-        $($(#[$note:meta])* $field:ident: $kind:ty = $new:expr,)*
+/// Declares a struct of parallel arrays, each with the value that it holds in a new row.
+macro_rules! parallel_arrays {
+    ($(#[$doc:meta])* $name:ident($($scalar:ident: $scalar_type:ty),*) {
+        $($(#[$field_doc:meta])* $field:ident: $element:ty = $initial:expr,)*
     }) => {
         $(#[$doc])*
         #[derive(Default)]
-        pub struct $name { $(pub $more: $whole,)* $($(#[$note])* pub $field: Vec<$kind>,)* }
+        pub struct $name { $(pub $scalar: $scalar_type,)* $($(#[$field_doc])* pub $field: Vec<$element>,)* }
 
         impl $name {
-            pub fn grow(&mut self) {
-                $(self.$field.push($new);)*
+            /// Appends a row with the initial values.
+            pub fn push_row(&mut self) {
+                $(self.$field.push($initial);)*
             }
 
-            /// Row `i` as it was when it was new.
-            pub fn renew(&mut self, i: usize) {
-                $(self.$field[i] = $new;)*
+            /// Resets row `i` to the initial values.
+            pub fn reset_row(&mut self, i: usize) {
+                $(self.$field[i] = $initial;)*
             }
         }
     };
 }
 
-/// A zone that failed as one: since when, or when it came back.
+/// An outage of a whole zone.
 #[derive(Clone, Copy, Debug)]
-pub struct Hold {
+pub struct ZoneOutage {
+    /// When the zone failed, or when it recovered if `recovered` is set.
     pub since: Instant,
-    pub back: bool,
+    pub recovered: bool,
 }
 
-arrays! {
-    /// Media nodes, by a dense index, and zones that failed as one.
-    Fleet(index: BTreeMap<NodeId, usize>, holds: BTreeMap<ZoneId, Hold>) {
-        node: NodeId = NodeId::default(),
+parallel_arrays! {
+    /// The media nodes by row, and the zones with an outage of the whole zone.
+    NodeTable(rows: BTreeMap<NodeId, usize>, zone_outages: BTreeMap<ZoneId, ZoneOutage>) {
+        id: NodeId = NodeId::default(),
         zone: ZoneId = ZoneId::default(),
         cell: u16 = 0,
-        /// Streams that it runs at most.
-        places: f64 = 0.0,
+        /// Maximum number of streams.
+        max_streams: f64 = 0.0,
         ready: bool = false,
-        /// Named by the list that is being read.
-        named: bool = false,
-        /// Told as gone: its row may be another's.
-        gone: bool = false,
+        /// Whether the list that is being read contains the node.
+        listed: bool = false,
+        /// Whether the node was reported as removed, so that its row may be reused.
+        removed: bool = false,
         rack: usize = 0,
+        /// Capacity of the link in kB/s.
         link: f64 = 0.0,
-        /// What other directors ask of the link, and when that was measured.
-        others: f64 = 0.0,
-        measured: Instant = Instant::LONG_AGO,
-        /// Set-ups that came to play and all set-ups, faded, and up to when.
-        good: f64 = 0.0,
-        all: f64 = 0.0,
-        faded: Instant = Instant::LONG_AGO,
-        /// Its last word, whatever it told.
-        heard: Instant = Instant::LONG_AGO,
-        /// When it last gave no answer, if it hasn't played since.
-        failed: Option<Instant> = None,
-        born: Instant = Instant::LONG_AGO,
-        /// The latest start that was told of, or that nothing vouches against; `born` may be a later guess.
-        vouched: Instant = Instant::LONG_AGO,
-        sent: Recent = Recent::default(),
-        further: Recent = Recent::default(),
-        /// Others find it failing.
-        doubted: bool = false,
-        /// Last note of short delivery with its share, and last drop on account of one.
-        short: Instant = Instant::LONG_AGO,
-        share: f64 = 1.0,
-        eased: Instant = Instant::LONG_AGO,
+        /// Demand of other directors on the link in kB/s, and when it was measured.
+        other_demand: f64 = 0.0,
+        measured_at: Instant = Instant::LONG_AGO,
+        /// Successful and all SETUP attempts, both with exponential decay up to `decayed_at`.
+        successes: f64 = 0.0,
+        attempts: f64 = 0.0,
+        decayed_at: Instant = Instant::LONG_AGO,
+        /// Last sign of life of any kind.
+        heard_at: Instant = Instant::LONG_AGO,
+        /// When the node last gave no answer, unless a session has started there since.
+        unanswered_at: Option<Instant> = None,
+        started_at: Instant = Instant::LONG_AGO,
+        /// The latest start that the list confirms or that nothing contradicts; `started_at` may be a later
+        /// estimate.
+        confirmed_start: Instant = Instant::LONG_AGO,
+        setups: EventWindow = EventWindow::default(),
+        retries: EventWindow = EventWindow::default(),
+        /// Whether other directors found the node failing.
+        suspected: bool = false,
+        /// Last report of short delivery, the share delivered, and the last downgrade of sessions on that
+        /// account.
+        short_at: Instant = Instant::LONG_AGO,
+        delivered_share: f64 = 1.0,
+        downgraded_at: Instant = Instant::LONG_AGO,
     }
 }
 
-impl Fleet {
-    /// Takes what the list tells of a node that is ready; its row, if it started since it was last told of. A new
-    /// node gets the row of one that is gone and not `spoken_of` by any session, so that rows don't grow with time.
-    pub fn enter(
+impl NodeTable {
+    /// Updates a node that the list reports as ready, and returns its row if it has restarted since the last
+    /// update. A new node takes over the row of a removed one that no session references, so that the table
+    /// doesn't grow without bound.
+    pub fn update(
         &mut self,
         node: NodeId,
-        place: NodeInfo,
-        plant: &Plant,
-        spoken_of: impl Fn(usize) -> bool,
+        info: NodeInfo,
+        params: &PolicyParams,
+        is_referenced: impl Fn(usize) -> bool,
     ) -> Option<usize> {
-        let born = place.started.unwrap_or(Instant::LONG_AGO);
-        let i = self.index.get(&node).copied().unwrap_or_else(|| {
-            let free = (0..self.node.len()).find(|&i| self.gone[i] && !spoken_of(i));
-            let i = free.unwrap_or(self.node.len());
+        let started_at = info.started.unwrap_or(Instant::LONG_AGO);
+        let i = self.rows.get(&node).copied().unwrap_or_else(|| {
+            let free = (0..self.id.len()).find(|&i| self.removed[i] && !is_referenced(i));
+            let i = free.unwrap_or(self.id.len());
             if free.is_some() {
-                self.index.remove(&self.node[i]);
-                self.renew(i);
+                self.rows.remove(&self.id[i]);
+                self.reset_row(i);
             } else {
-                self.grow();
+                self.push_row();
             }
-            self.index.insert(node, i);
-            (self.node[i], self.born[i], self.vouched[i]) = (node, born, born);
+            self.rows.insert(node, i);
+            (self.id[i], self.started_at[i], self.confirmed_start[i]) = (node, started_at, started_at);
             i
         });
-        self.gone[i] = false;
-        (self.ready[i], self.named[i], self.zone[i]) = (true, true, place.zone);
-        (self.cell[i], self.rack[i]) = (place.cell.0, usize::from(place.cell.0) % plant.racks);
-        self.link[i] = place.weight.max(0.0) * plant.link_unit;
-        self.places[i] = plant.places.get(usize::from(place.model.0)).copied().unwrap_or(1.0);
-        let restarted = born > self.born[i];
-        self.born[i] = self.born[i].max(born);
-        self.vouched[i] = self.vouched[i].max(born);
+        self.removed[i] = false;
+        (self.ready[i], self.listed[i], self.zone[i]) = (true, true, info.zone);
+        (self.cell[i], self.rack[i]) = (info.cell.0, usize::from(info.cell.0) % params.rack_count);
+        self.link[i] = info.weight.max(0.0) * params.link_kb_per_s_per_weight;
+        self.max_streams[i] = params.max_streams.get(usize::from(info.model.0)).copied().unwrap_or(1.0);
+        let restarted = started_at > self.started_at[i];
+        self.started_at[i] = self.started_at[i].max(started_at);
+        self.confirmed_start[i] = self.confirmed_start[i].max(started_at);
         restarted.then_some(i)
     }
 
-    /// Ready nodes of the zone that gave no answer after the last word of any of its nodes; none where all are of one zone.
-    pub fn failed_since_word(&self, zone: ZoneId) -> usize {
+    /// Returns the number of ready nodes of the zone that gave no answer since the last sign of life of any
+    /// of its nodes; 0 if all nodes are of one zone.
+    pub fn unanswered_since_contact(&self, zone: ZoneId) -> usize {
         if self.zone.iter().all(|&other| other == zone) {
             return 0;
         }
-        let mates = || (0..self.node.len()).filter(|&k| self.ready[k] && self.zone[k] == zone);
-        let word = mates().map(|k| self.heard[k]).max();
-        mates().filter(|&k| self.failed[k] > word).count()
+        let nodes_in_zone = || (0..self.id.len()).filter(|&k| self.ready[k] && self.zone[k] == zone);
+        let last_contact = nodes_in_zone().map(|k| self.heard_at[k]).max();
+        nodes_in_zone().filter(|&k| self.unanswered_at[k] > last_contact).count()
     }
 
-    /// A word of node `i`: if its zone was lost, that is back.
-    pub fn word(&mut self, i: usize, now: Instant) {
-        self.heard[i] = now;
-        if let Some(hold) = self.holds.get_mut(&self.zone[i]).filter(|hold| !hold.back) {
-            *hold = Hold { since: now, back: true };
+    /// Records a sign of life of node `i`, which ends an outage of its zone.
+    pub fn record_contact(&mut self, i: usize, now: Instant) {
+        self.heard_at[i] = now;
+        if let Some(outage) = self.zone_outages.get_mut(&self.zone[i]).filter(|outage| !outage.recovered) {
+            *outage = ZoneOutage { since: now, recovered: true };
         }
     }
 
-    pub fn hold(&self, i: usize) -> Option<Hold> {
-        self.holds.get(&self.zone[i]).copied()
+    /// Returns the last outage of the zone of node `i`.
+    pub fn zone_outage(&self, i: usize) -> Option<ZoneOutage> {
+        self.zone_outages.get(&self.zone[i]).copied()
     }
 
-    /// Its zone failed as one, and no word has come from there since.
-    pub fn lost(&self, i: usize) -> bool {
-        self.hold(i).is_some_and(|hold| !hold.back && hold.since > Instant::LONG_AGO)
+    /// Returns whether the zone of node `i` has failed as a whole and has given no sign of life since.
+    pub fn zone_is_down(&self, i: usize) -> bool {
+        self.zone_outage(i).is_some_and(|outage| !outage.recovered && outage.since > Instant::LONG_AGO)
     }
 
-    /// Adds one set-up's end to the success of node `i`, after what came before has faded to `kept`.
-    pub fn came(&mut self, i: usize, good: bool, kept: f64, now: Instant) {
-        self.all[i] = self.all[i] * kept + 1.0;
-        self.good[i] = self.good[i] * kept + f64::from(u8::from(good));
-        self.faded[i] = now;
+    /// Adds the outcome of a SETUP attempt at node `i`, after multiplying the earlier outcomes by `decay`.
+    pub fn record_outcome(&mut self, i: usize, success: bool, decay: f64, now: Instant) {
+        self.attempts[i] = self.attempts[i] * decay + 1.0;
+        self.successes[i] = self.successes[i] * decay + f64::from(u8::from(success));
+        self.decayed_at[i] = now;
     }
 }
 
-arrays! {
-    /// Racks.
-    Racks() {
-        /// What the uplink was last seen to carry, and when.
-        carries: f64 = 0.0,
-        seen: Instant = Instant::LONG_AGO,
-        /// What others ask of it, where reports tell.
-        others: f64 = 0.0,
-        measured: Instant = Instant::LONG_AGO,
+parallel_arrays! {
+    /// The racks.
+    RackTable() {
+        /// Estimated capacity of the uplink in kB/s, and when it was estimated.
+        uplink_capacity: f64 = 0.0,
+        estimated_at: Instant = Instant::LONG_AGO,
+        /// Demand of other directors on the uplink in kB/s where load reports contain it, and when it was
+        /// measured.
+        other_demand: f64 = 0.0,
+        measured_at: Instant = Instant::LONG_AGO,
     }
 }
 
-impl Racks {
-    pub fn of(plant: &Plant) -> Racks {
-        let mut racks = Racks::default();
-        (0..plant.racks).for_each(|_| racks.grow());
-        racks.carries.fill(plant.uplink);
+impl RackTable {
+    /// Returns a table in which each uplink has the configured mean capacity.
+    pub fn new(params: &PolicyParams) -> RackTable {
+        let mut racks = RackTable::default();
+        (0..params.rack_count).for_each(|_| racks.push_row());
+        racks.uplink_capacity.fill(params.uplink_kb_per_s);
         racks
     }
 }
--- a/src/state_test.rs
+++ b/src/state_test.rs
@@ -1,11 +1,11 @@
-//! Rows of nodes and what they keep.
+//! Reuse of rows in the node table.
 
 use super::*;
 use crate::ids::{CellId, ModelId};
 use crate::interface::DirectorConfig;
 
-fn plant() -> Plant {
-    Plant::of(&DirectorConfig {
+fn params() -> PolicyParams {
+    PolicyParams::new(&DirectorConfig {
         seed: 1,
         zone: ZoneId(0),
         director_index: 0,
@@ -37,24 +37,25 @@
     })
 }
 
-/// Nodes replaced all day by new ones: rows stay as many as are there at once and one that a session speaks of,
-/// and a new node has nothing of the one whose row it got.
+/// Guards against a node table that grows without bound as nodes are replaced, and against a new node that
+/// inherits the state of the one whose row it takes over. The table keeps as many rows as there are nodes at
+/// once, and one that a session references.
 #[test]
-fn rows_of_nodes_that_are_gone_are_used_again() {
-    let (plant, mut fleet) = (plant(), Fleet::default());
-    let place = NodeInfo { zone: ZoneId(0), model: ModelId(0), cell: CellId(0), weight: 1.0, started: None };
-    let mut shown = String::new();
+fn rows_of_removed_nodes_are_reused() {
+    let (params, mut nodes) = (params(), NodeTable::default());
+    let info = NodeInfo { zone: ZoneId(0), model: ModelId(0), cell: CellId(0), weight: 1.0, started: None };
+    let mut trace = String::new();
     for n in 0..1000u64 {
-        fleet.enter(NodeId(n), place, &plant, |i| i == 2);
-        let i = fleet.index[&NodeId(n)];
-        assert_eq!((fleet.good[i], fleet.failed[i]), (0.0, None));
-        (fleet.good[i], fleet.failed[i]) = (7.0, Some(Instant::from_ms(1.0)));
+        nodes.update(NodeId(n), info, &params, |i| i == 2);
+        let i = nodes.rows[&NodeId(n)];
+        assert_eq!((nodes.successes[i], nodes.unanswered_at[i]), (0.0, None));
+        (nodes.successes[i], nodes.unanswered_at[i]) = (7.0, Some(Instant::from_ms(1.0)));
         if let Some(old) = n.checked_sub(3) {
-            let row = fleet.index[&NodeId(old)];
-            (fleet.ready[row], fleet.gone[row]) = (false, true);
+            let row = nodes.rows[&NodeId(old)];
+            (nodes.ready[row], nodes.removed[row]) = (false, true);
         }
         if n < 8 || n == 999 {
-            shown += &format!("{n} in row {i}, {} rows, {} names\n", fleet.node.len(), fleet.index.len());
+            trace += &format!("{n} in row {i}, {} rows, {} names\n", nodes.id.len(), nodes.rows.len());
         }
     }
     expect_test::expect![[r#"
@@ -68,5 +69,5 @@
         7 in row 3, 5 rows, 5 names
         999 in row 3, 5 rows, 5 names
     "#]]
-    .assert_eq(&shown);
+    .assert_eq(&trace);
 }
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,25 +1,30 @@
-//! Points in time and spans between them, in whole microseconds; the two can't be mixed up.
+//! Points in time and spans between them, as whole microseconds. The two are separate types that can't be
+//! mixed up.
 
 use std::ops::{Add, Div, Mul, Sub};
 
 use serde::{Deserialize, Serialize};
 
+/// A point in time: microseconds since an epoch that the caller chooses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Instant(i64);
 
+/// A signed span of time in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Span(i64);
 
 impl Instant {
-    /// Before all that a director will ever be told.
+    /// Earlier than every time that a director is given.
     pub const LONG_AGO: Instant = Instant(i64::MIN / 4);
 
+    /// Converts milliseconds since the epoch, rounded to the nearest microsecond.
     pub fn from_ms(ms: f64) -> Instant {
-        Instant(micros(ms))
+        Instant(micros_from_ms(ms))
     }
 
+    /// Returns the milliseconds since the epoch.
     pub fn as_ms(self) -> f64 {
         self.0 as f64 / 1e3
     }
@@ -28,21 +33,24 @@
 impl Span {
     pub const ZERO: Span = Span(0);
 
+    /// Converts milliseconds, rounded to the nearest microsecond.
     pub fn from_ms(ms: f64) -> Span {
-        Span(micros(ms))
+        Span(micros_from_ms(ms))
     }
 
+    /// Converts seconds, rounded to the nearest microsecond.
     pub fn from_secs(secs: f64) -> Span {
         Span::from_ms(secs * 1e3)
     }
 
+    /// Returns the span in milliseconds.
     pub fn as_ms(self) -> f64 {
         self.0 as f64 / 1e3
     }
 }
 
-/// NaN becomes 0 and what is out of range the nearest that is in it.
-fn micros(ms: f64) -> i64 {
+/// Converts milliseconds to microseconds; NaN becomes 0, and values out of range are clamped.
+fn micros_from_ms(ms: f64) -> i64 {
     ((ms * 1e3).round() as i64).clamp(i64::MIN / 8, i64::MAX / 8)
 }
 
@@ -83,8 +91,8 @@
 
 impl Mul<f64> for Span {
     type Output = Span;
-    fn mul(self, times: f64) -> Span {
-        Span((self.0 as f64 * times) as i64)
+    fn mul(self, factor: f64) -> Span {
+        Span((self.0 as f64 * factor) as i64)
     }
 }
 
@@ -95,7 +103,7 @@
     }
 }
 
-/// What is left of a weight that halves every `half_life` seconds.
-pub fn halved(age: Span, half_life: f64) -> f64 {
-    0.5f64.powf((age / Span::from_secs(half_life)).max(0.0))
+/// Returns the exponential decay factor at `age`: 1 at age 0 and below, and halved every `half_life_seconds`.
+pub fn decay_factor(age: Span, half_life_seconds: f64) -> f64 {
+    0.5f64.powf((age / Span::from_secs(half_life_seconds)).max(0.0))
 }
