--- a/crates/director/src/serve.rs
+++ b/crates/director/src/serve.rs
@@ -5,9 +5,9 @@
 use std::sync::{Arc, Mutex};
 
 use ashglade::time::Span;
-use ashglade_discovery::List;
-use ashglade_engine::{DoorTerms, Input, Start};
-use ashglade_ledger::{Ledger, Terms, pages};
+use ashglade_discovery::NodeList;
+use ashglade_engine::{AdmissionConfig, EngineConfig, Input};
+use ashglade_ledger::{Ledger, TeardownPolicy, journal};
 use ashglade_rtsp::digest::Users;
 use ashglade_settings::Settings;
 use bytes::Bytes;
@@ -36,11 +36,11 @@
     /// Where each round is written, if anywhere.
     pub record: Option<PathBuf>,
     /// Broken on purpose by the lab, to see that its judge finds out. No command in service sets it.
-    pub defect: Option<ashglade_peer_transport::Defect>,
+    pub defect: Option<ashglade_peer_transport::InjectedFault>,
 }
 
 /// Reads and checks settings and box lists; the list that would be in force, and where lists are read.
-pub fn load(path: &Path) -> Result<(Settings, List, Files), Trouble> {
+pub fn load(path: &Path) -> Result<(Settings, NodeList, Files), Trouble> {
     let settings = ashglade_settings::settings(&path.display().to_string(), &read(path)?)?;
     let files = Files::new(&settings, path);
     let (_, list) = lists::open(&settings, &files, ashglade::time::Instant::default())?;
@@ -60,21 +60,26 @@
 }
 
 /// What the engine is started with, from settings.
-pub fn replay_start(settings: &Settings) -> Start {
+pub fn replay_start(settings: &Settings) -> EngineConfig {
     let headend = &settings.headend;
-    Start {
-        headend: headend.clone(),
+    EngineConfig {
+        director: headend.clone(),
         answer_margin: settings.answer_margin,
         probe_timeout: settings.probe_timeout,
-        most_sessions: settings.most_sessions,
-        door: settings.door.as_ref().map(|door| DoorTerms {
+        max_sessions: settings.most_sessions,
+        admission: settings.door.as_ref().map(|door| AdmissionConfig {
             seed: headend.seed,
             groups: door.shares.iter().copied().zip(headend.groups.iter().map(|g| g.utility)).collect(),
-            tenants: door.tenants.iter().map(|&(_, share)| share).collect(),
-            target: headend.groups.iter().map(|g| g.start_target).min().unwrap_or(Span::from_secs(1.0)),
-            retry_after: headend.max_retry_after,
-            most_waiting: door.most_waiting,
-            hands: door.hands,
+            tenant_weights: door.tenants.iter().map(|&(_, share)| share).collect(),
+            min_start_target: headend
+                .groups
+                .iter()
+                .map(|g| g.start_target)
+                .min()
+                .unwrap_or(Span::from_secs(1.0)),
+            max_retry_after: headend.max_retry_after,
+            max_waiting: door.most_waiting,
+            concurrency_limits: door.hands,
         }),
     }
 }
@@ -129,15 +134,17 @@
         )),
     });
     let (drained, mut is_drained) = watch::channel(false);
-    shared.core.tell(Input::List(list.clone())).await;
+    shared.core.tell(Input::DiscoverySnapshot(list.clone())).await;
     let book = book(&settings, &options.settings, clock.now())?;
     let (seen, outcomes) = mpsc::channel(INPUTS);
     let talk = talk.and_then(|socket| {
         let view = shared_view(&settings, &options.settings);
-        ashglade_peer_transport::Started::new(&settings, socket, clock, outcomes, view).map(|mut started| {
-            started.terms.defect = options.defect;
-            started
-        })
+        ashglade_peer_transport::PeerTransport::new(&settings, socket, clock, outcomes, view).map(
+            |mut started| {
+                started.config.injected_fault = options.defect;
+                started
+            },
+        )
     });
     // Only what is shared by settings is told of.
     let seen = settings.talk.as_ref().and_then(|talk| talk.share.as_ref()).map(|_| seen);
@@ -214,22 +221,24 @@
 
 /// Opens the ledger, with what the director before this one left in it, and begins its pages anew.
 fn book(settings: &Settings, path: &Path, now: ashglade::time::Instant) -> Result<Book, Trouble> {
-    let mut ledger = Ledger::new(Terms::default(), settings.headend.seed);
+    let mut ledger = Ledger::new(TeardownPolicy::default(), settings.headend.seed);
     let Some(name) = &settings.front.ledger else { return Ok(Book { ledger, file: None }) };
     let path = beside(path, name);
     let trouble = |source| Trouble::Read { path: path.clone(), source };
     let open = match std::fs::read_to_string(&path) {
-        Ok(text) => pages::open(&text).map_err(|source| Trouble::Ledger { path: path.clone(), source })?,
+        Ok(text) => {
+            journal::open_sessions(&text).map_err(|source| Trouble::Ledger { path: path.clone(), source })?
+        }
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => Default::default(),
         Err(error) => return Err(trouble(error)),
     };
     let lines: String =
-        open.iter().map(|(&key, held)| pages::write(&pages::Line::Held(key, held.clone()))).collect();
+        open.iter().map(|(&key, held)| journal::encode(&journal::Entry::Held(key, held.clone()))).collect();
     replace(&path, &lines).map_err(trouble)?;
     let file = std::fs::OpenOptions::new().append(true).open(&path).map_err(trouble)?;
     if !open.is_empty() {
         info!(sessions = open.len(), "tear-downs owed by the director before this one");
     }
-    open.into_iter().for_each(|(key, held)| ledger.inherit(key, held, now));
+    open.into_iter().for_each(|(key, held)| ledger.schedule_inherited(key, held, now));
     Ok(Book { ledger, file: Some(file) })
 }
--- a/crates/lab/src/emulator/world.rs
+++ b/crates/lab/src/emulator/world.rs
@@ -6,10 +6,10 @@
 use ashglade::ids::{NodeId, SetupNumber};
 use ashglade::interface::RetrySafety;
 use ashglade::time::Instant;
-use ashglade_discovery::{Entry, List, Standing};
-use ashglade_engine::{Answer, Input};
+use ashglade_discovery::{NodeEntry, NodeList, NodeState};
+use ashglade_engine::{Input, SessionResponse};
 use ashglade_settings::{Settings, Title};
-use ashglade_shared::Word;
+use ashglade_shared::PeerMessage;
 
 use super::crowd::Viewer;
 use super::nodes::{Fleet, Handled, Key};
@@ -32,7 +32,7 @@
     Answered {
         viewer: usize,
         again: u32,
-        answer: Answer,
+        answer: SessionResponse,
     },
     /// Its session, or the connection, broke.
     Breaks {
@@ -92,11 +92,11 @@
         life: u32,
     },
     /// What one says to another comes there.
-    Said(Word),
+    Said(PeerMessage),
     /// Lists are told.
     Listed {
         nodes: Vec<usize>,
-        standing: Standing,
+        standing: NodeState,
         started: Option<f64>,
     },
     Second,
@@ -143,7 +143,7 @@
     pub cuts: talk::Cuts,
     pub fleet: Fleet,
     pub node_of: BTreeMap<NodeId, usize>,
-    pub list: List,
+    pub list: NodeList,
     stale: f64,
     pub drain_grace: f64,
     pub viewers: Vec<Viewer>,
@@ -197,10 +197,10 @@
         let (specs, entries) = play::nodes(day, &settings);
         // An address of its own for each; nothing is ever sent there.
         let place = |i: usize| [127, 1 + (i >> 16) as u8, (i >> 8) as u8, i as u8];
-        let entries: Vec<Entry> = entries
+        let entries: Vec<NodeEntry> = entries
             .into_iter()
             .enumerate()
-            .map(|(i, entry)| Entry { address: (place(i), 554).into(), ..entry })
+            .map(|(i, entry)| NodeEntry { address: (place(i), 554).into(), ..entry })
             .collect();
         let (uplinks, ladder, cold) = play::terms(&settings);
         let seed = day.seed.unwrap_or(0);
@@ -221,8 +221,8 @@
             shells: starts.into_iter().map(|(start, talker)| Shell::new(start, talker)).collect(),
             cuts: talk::Cuts::of(day),
             fleet: Fleet::new(specs, uplinks, ladder, cold, seed),
-            node_of: entries.iter().enumerate().map(|(i, entry)| (entry.node(), i)).collect(),
-            list: List { generation: 1, entries },
+            node_of: entries.iter().enumerate().map(|(i, entry)| (entry.node_id(), i)).collect(),
+            list: NodeList { generation: 1, entries },
             stale: 0.0,
             drain_grace: day.drain_grace_ms.unwrap_or(0.0) / 1e3,
             viewers: Vec::new(),
@@ -327,7 +327,7 @@
                         self.fleet.further(self.secs(), node);
                     }
                     let load = Some(self.fleet.load(node));
-                    let input = Input::Started { sess: key.1, setup, load };
+                    let input = Input::SetupAccepted { session: key.1, setup, load };
                     self.plan(self.net, Event::Reaches { director: key.0, life, input });
                 }
             }
@@ -373,20 +373,36 @@
                 return self.plan_at(at.max(self.now), Event::SetUp { key, life, setup, node, process });
             }
             Handled::Unheard => return,
-            Handled::Full => {
-                Input::Ended { sess, setup, how: ashglade::interface::AttemptOutcome::Full, load }
-            }
+            Handled::Full => Input::SetupFailed {
+                session: sess,
+                setup,
+                outcome: ashglade::interface::AttemptOutcome::Full,
+                load,
+            },
             Handled::Fault => {
                 self.report.failed_at.push(self.secs());
-                Input::Ended { sess, setup, how: ashglade::interface::AttemptOutcome::Fault, load }
-            }
-            Handled::Reset => {
-                Input::Ended { sess, setup, how: ashglade::interface::AttemptOutcome::Lost, load: None }
+                Input::SetupFailed {
+                    session: sess,
+                    setup,
+                    outcome: ashglade::interface::AttemptOutcome::Fault,
+                    load,
+                }
             }
+            Handled::Reset => Input::SetupFailed {
+                session: sess,
+                setup,
+                outcome: ashglade::interface::AttemptOutcome::Lost,
+                load: None,
+            },
             Handled::Fell => {
                 self.report.fallen += 1;
                 self.breach(format!("rule 4: node {node} was pushed over"));
-                Input::Ended { sess, setup, how: ashglade::interface::AttemptOutcome::Lost, load: None }
+                Input::SetupFailed {
+                    session: sess,
+                    setup,
+                    outcome: ashglade::interface::AttemptOutcome::Lost,
+                    load: None,
+                }
             }
         };
         self.plan(self.net, Event::Reaches { director, life, input });
@@ -421,7 +437,7 @@
                 on.iter().for_each(|&i| self.fleet.start(now, i));
             }
             Change::Told(nodes, standing, after) => {
-                let started = (standing == Standing::Ready).then(|| self.secs());
+                let started = (standing == NodeState::Ready).then(|| self.secs());
                 self.plan(after + self.stale, Event::Listed { nodes, standing, started });
             }
             Change::Stale(by) => self.stale = by,
@@ -434,12 +450,12 @@
         }
     }
 
-    fn listed(&mut self, nodes: &[usize], standing: Standing, started: Option<f64>) {
+    fn listed(&mut self, nodes: &[usize], standing: NodeState, started: Option<f64>) {
         for &i in nodes {
             let Some(entry) = self.list.entries.get_mut(i) else { continue };
-            entry.standing = standing;
+            entry.state = standing;
             if let Some(started) = started {
-                entry.place.started = Some(Instant::from_ms((started * 1e3).floor()));
+                entry.info.started = Some(Instant::from_ms((started * 1e3).floor()));
             }
         }
         self.list.generation += 1;
@@ -448,11 +464,11 @@
             let shell = &mut self.shells[director];
             for &i in nodes {
                 match standing {
-                    Standing::Ready => drop(shell.leaves.remove(&i)),
+                    NodeState::Ready => drop(shell.leaves.remove(&i)),
                     _ => drop(shell.leaves.entry(i).or_insert(now)),
                 }
             }
-            let (life, input) = (shell.life, Input::List(self.list.clone()));
+            let (life, input) = (shell.life, Input::DiscoverySnapshot(self.list.clone()));
             self.reach(director as u16, life, input);
         }
     }
@@ -481,7 +497,7 @@
             for (&sess, seat) in &shell.seats {
                 let Some(node) = seat.plays_at else { continue };
                 let share = shares[node];
-                flows.push((director as u16, shell.life, Input::Flow { sess, share }));
+                flows.push((director as u16, shell.life, Input::SessionDelivery { session: sess, share }));
                 let rung = self.settings.headend.ladder.get(usize::from(seat.rung));
                 let group = &mut self.report.groups[seat.group];
                 group.watched += 1.0;
@@ -495,7 +511,7 @@
         let fills: Vec<f64> = (0..self.fleet.all.len()).map(|i| self.fleet.fill(i)).collect();
         let mean = fills.iter().sum::<f64>() / fills.len().max(1) as f64;
         self.sample.fill = (mean, fills.iter().copied().fold(0.0, f64::max));
-        let limit = |shell: &Shell| Some(shell.engine.as_ref()?.door()?.limit());
+        let limit = |shell: &Shell| Some(shell.engine.as_ref()?.admission()?.limit());
         self.sample.limits = self.shells.iter().map(limit).collect();
         let next = self.empty_sample(second + 1);
         self.report.samples.push(std::mem::replace(&mut self.sample, next));
@@ -509,11 +525,14 @@
             if let Some(engine) = &shell.engine {
                 let tally = engine.tally();
                 self.report.setups += tally.setups;
-                if let Some(door) = engine.door() {
-                    let kept = door.view().promises;
+                if let Some(door) = engine.admission() {
+                    let kept = door.status().retries;
                     let (made, came, went_in) = &mut self.report.promised;
-                    (*made, *came, *went_in) =
-                        (*made + kept.made, *came + kept.came, *went_in + kept.went_in);
+                    (*made, *came, *went_in) = (
+                        *made + kept.slots_reserved,
+                        *came + kept.returned_in_slot,
+                        *went_in + kept.admitted,
+                    );
                 }
                 if tally.guarded + tally.doubled > 0 {
                     let (guarded, doubled) = (tally.guarded, tally.doubled);
