--- a/src/policy.rs
+++ b/src/policy.rs
@@ -2,6 +2,9 @@
 //! gets a busy reply. Call [`Director::new`] once with the configuration, then [`Director::run_round`] once
 //! for each batch of events, with a closure that reports the events in order to the [`Round`]. Decisions go
 //! straight to the [`DecisionSink`]. The sink and the configuration are defined in `src/interface.rs`.
+//!
+//! Where a comment refers to a rule by its number, it is one of those that the judge checks in
+//! `crates/judge/src/rules.rs`.
 
 use crate::ids::{NodeId, Rung, SessionId, SetupNumber, TimerId, ZoneId, uniform_hash};
 use crate::interface::{
@@ -164,9 +167,9 @@
         self.now = now;
         let result = report_events(&mut Round { director: self, sink: &mut *sink });
         if first {
-            // Without inherited sessions, the whole fleet may have restarted together with this director.
-            // Each node is therefore assumed to have started now, except those that the list reports to be in
-            // slow start, whose start is known.
+            // Without inherited sessions, the director can't tell how long it was down, and its list is no
+            // evidence that a node has been running for long. Each node is assumed to have started now,
+            // except those that the list reports to be in slow start, whose start is known.
             self.inherited_sessions = self.sessions.iter().any(|(_, s)| s.playing);
             for i in 0..self.nodes.id.len() {
                 if !self.inherited_sessions && self.slow_start_factor(self.nodes.started_at[i]) >= 1.0 {
@@ -273,10 +276,10 @@
         let recent_setups = (self.recent.setups.count(self.now, window) - 1.0).max(0.0);
         let surge =
             recent_setups * (self.params.director_count - 1.0) * self.params.lowest_rate / total.max(1.0);
-        let fleet_load = sum / weights.max(1e-9) + surge;
+        let average_load = sum / weights.max(1e-9) + surge;
         // The demand on a link is the own one plus that of other directors by the last report. As the report
         // ages, the average over the fleet replaces it, or zero if the node drains or is gone.
-        let others_load = fleet_load.min(MAX_ASSUMED_LOAD) * (1.0 - 1.0 / self.params.director_count);
+        let others_load = average_load.min(MAX_ASSUMED_LOAD) * (1.0 - 1.0 / self.params.director_count);
         let unreported =
             |i: usize| if nodes.ready[i] { others_load * (1.0 - freshness[i]) + surge } else { 0.0 };
         let link_demand = |i: usize| {
@@ -305,7 +308,7 @@
             rack_nodes,
             freshness,
             mean_rate,
-            equal_part: EQUAL_PART_FRACTION * mean_rate / fleet_load.max(1e-3),
+            equal_part: EQUAL_PART_FRACTION * mean_rate / average_load.max(1e-3),
         }
     }
 
@@ -313,8 +316,8 @@
     /// uplink is infinite if its capacity is unknown.
     fn free_capacity(&self, load: &FleetLoad, i: usize) -> (f64, f64) {
         let rack = self.nodes.rack[i];
-        // After a node gave no answer, its link recovers with time, so that the node is tried again. Its slow
-        // start doesn't: see `slow_start_permits`.
+        // After a node gave no answer, the capacity assumed of its link rises with time, so that the node is
+        // tried again. The number of SETUPs that it may get stays at its minimum: see `slow_start_permits`.
         let factor = self.slow_start_factor(self.nodes.unanswered_at[i].unwrap_or(self.nodes.started_at[i]));
         let link = self.nodes.link[i] * factor - load.link_demand[i];
         let uplink_known = self.params.uplink_kb_per_s > 0.0;
