--- a/src/interface.rs
+++ b/src/interface.rs
@@ -108,18 +108,22 @@
 /// The configuration that a director reads at its start.
 #[derive(Clone, Debug)]
 pub struct DirectorConfig {
+    /// Seed of the random number generator.
     pub seed: u64,
     /// The director's own zone.
     pub zone: ZoneId,
     /// The index of this director among all directors, from 0.
     pub director_index: usize,
     pub director_count: usize,
+    /// The service groups; a [`GroupId`] is an index into this list.
     pub groups: Vec<ServiceGroup>,
     /// Rate in kB/s and utility of each rung, lowest first.
     pub ladder: Vec<(f64, f64)>,
     /// Maximum number of streams of a node, by hardware model.
     pub max_streams: Vec<f64>,
+    /// Number of placement cells. The cells of a title wrap around after the last one.
     pub cell_count: u16,
+    /// Number of racks; the rack of a cell is its number modulo this.
     pub rack_count: u16,
     /// Link capacity in kB/s for each unit of a node's weight.
     pub link_kb_per_s_per_weight: f64,
@@ -138,21 +142,26 @@
     pub load_metrics: Vec<LoadMetric>,
     /// Whether load reports arrive only in response to probes.
     pub probe_only: bool,
+    /// Whether the director may probe nodes.
     pub may_probe: bool,
     /// Cost of one probe for each session, as a fraction of the total utility.
     pub probe_cost: f64,
+    /// Whether the director may cancel a SETUP that is in flight.
     pub may_cancel: bool,
     /// The longest delay that a busy reply can ask a viewer to wait; none if it can't carry one.
     pub max_retry_after: Option<Span>,
+    /// Maximum number of SETUPs for one session, the first included.
     pub max_setups_per_session: usize,
+    /// The budget of retries; none if they are not limited.
     pub retry_budget: Option<RetryBudget>,
     /// Slow start: the fraction of its capacity that a node has at its start.
     pub slow_start_initial_fraction: f64,
     /// Slow start: the time after which a node has its full capacity.
     pub slow_start_duration: Span,
-    /// Slow start: a node whose pace of SETUPs stays at this multiple of `max_streams` per `slow_start_duration`
-    /// throughout `overload_window` becomes overloaded.
+    /// Slow start: a node whose pace of SETUPs stays at this multiple of `max_streams` per
+    /// `slow_start_duration` throughout `overload_window` becomes overloaded.
     pub overload_multiple: f64,
+    /// Slow start: the window over which SETUPs to a node are counted.
     pub overload_window: Span,
     /// Where the list of nodes has to be requested: the longest time between two requests.
     pub node_list_max_age: Option<Span>,
--- a/src/state.rs
+++ b/src/state.rs
@@ -6,7 +6,8 @@
 use crate::interface::{DirectorConfig, LoadMetric, NodeInfo, RetryBudget, ServiceGroup, SessionRequest};
 use crate::time::{Instant, Span};
 
-/// The parameters of the policy, derived once from the configuration.
+/// The parameters of the policy, derived once from the configuration. Fields that bear the name of a field of
+/// [`DirectorConfig`] have its meaning.
 pub struct PolicyParams {
     pub zone: ZoneId,
     pub director_count: f64,
@@ -149,6 +150,7 @@
 
 /// The parameters of a service group.
 pub struct GroupParams {
+    /// The group's configuration.
     pub config: ServiceGroup,
     /// Rate of each rung in kB/s.
     pub rates: Vec<f64>,
@@ -173,12 +175,14 @@
     pub announced_rung: Option<u8>,
     /// Row of the node that the session plays at or is being set up at.
     pub node: Option<usize>,
+    /// Number of SETUPs sent so far.
     pub setup_count: u16,
     /// When the SETUP that is in flight was sent.
     pub setup_sent_at: Option<Instant>,
     pub playing: bool,
     /// The session has its final answer, and only an outcome is outstanding.
     pub answered: bool,
+    /// Rows of the nodes at which a SETUP or the session has ended.
     pub tried_nodes: Vec<usize>,
     /// Whether nodes were probed for this session, and those whose result is outstanding.
     pub probed: bool,
@@ -195,6 +199,7 @@
 }
 
 impl Session {
+    /// Creates a session that has no node yet.
     pub fn new(request: SessionRequest, now: Instant, rung: u8, quiet_period: Span) -> Session {
         Session {
             request,
@@ -252,10 +257,12 @@
 }
 
 impl SessionTable {
+    /// Returns a session by its id.
     pub fn get(&self, id: SessionId) -> Option<&Session> {
         self.sessions.get(&id)
     }
 
+    /// Returns all sessions in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (SessionId, &Session)> {
         self.sessions.iter().map(|(&id, s)| (id, s))
     }
@@ -270,10 +277,12 @@
         self.demand.get(i).copied().unwrap_or(0.0)
     }
 
+    /// Adds a session that has no node yet.
     pub fn insert(&mut self, id: SessionId, session: Session) {
         self.sessions.insert(id, session);
     }
 
+    /// Removes a session and its demand.
     pub fn remove(&mut self, params: &PolicyParams, id: SessionId) -> Option<Session> {
         self.update(params, id, |s| s.node = None);
         self.sessions.remove(&id)
