--- a/crates/site/src/bounds.rs
+++ b/crates/site/src/bounds.rs
@@ -1,9 +1,11 @@
-//! Figures within bounds: one that is out of them is refused while it is read, so that the error has the way to its field.
+//! Numbers with bounds. A value out of bounds fails while it is deserialized, so that the error has the path of its
+//! field.
 
 use serde::Deserialize;
 
 macro_rules! bounded {
-    ($($name:ident: $must:literal, $holds:expr;)*) => {$(
+    ($($name:ident: $requirement:literal, $is_valid:expr;)*) => {$(
+        /// A number within the bounds that are stated where `bounded!` is invoked.
         #[derive(Clone, Copy, Deserialize)]
         #[serde(try_from = "f64")]
         pub struct $name(f64);
@@ -11,9 +13,9 @@
         impl TryFrom<f64> for $name {
             type Error = String;
 
-            fn try_from(figure: f64) -> Result<$name, String> {
-                let holds: fn(f64) -> bool = $holds;
-                if holds(figure) { Ok($name(figure)) } else { Err(format!("{figure} is not {}", $must)) }
+            fn try_from(value: f64) -> Result<$name, String> {
+                let is_valid: fn(f64) -> bool = $is_valid;
+                if is_valid(value) { Ok($name(value)) } else { Err(format!("{value} is not {}", $requirement)) }
             }
         }
 
@@ -26,43 +28,43 @@
 }
 
 bounded! {
-    Above0: "above 0", |figure| figure > 0.0;
-    From0: "0 or more", |figure| figure >= 0.0;
-    Part: "from 0 to 1", |figure| (0.0..=1.0).contains(&figure);
+    Positive: "greater than 0", |value| value > 0.0;
+    NonNegative: "0 or greater", |value| value >= 0.0;
+    Fraction: "between 0 and 1", |value| (0.0..=1.0).contains(&value);
 }
 
-/// What is left out.
-impl Default for From0 {
-    fn default() -> From0 {
-        From0(0.0)
+/// Returns 0, the value of a field that is left out.
+impl Default for NonNegative {
+    fn default() -> NonNegative {
+        NonNegative(0.0)
     }
 }
 
-/// A whole number, written with a decimal point or without.
+/// An integer from `MIN` to `MAX`. JSON may write it with a decimal point, as in `2.0`.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(try_from = "f64")]
-pub struct Whole<const LEAST: u32 = 0, const MOST: u32 = { u32::MAX }>(u32);
+pub struct BoundedInteger<const MIN: u32 = 0, const MAX: u32 = { u32::MAX }>(u32);
 
-impl<const LEAST: u32, const MOST: u32> TryFrom<f64> for Whole<LEAST, MOST> {
+impl<const MIN: u32, const MAX: u32> TryFrom<f64> for BoundedInteger<MIN, MAX> {
     type Error = String;
 
-    fn try_from(figure: f64) -> Result<Self, String> {
-        if figure.fract() == 0.0 && (f64::from(LEAST)..=f64::from(MOST)).contains(&figure) {
-            Ok(Whole(figure as u32))
+    fn try_from(value: f64) -> Result<Self, String> {
+        if value.fract() == 0.0 && (f64::from(MIN)..=f64::from(MAX)).contains(&value) {
+            Ok(BoundedInteger(value as u32))
         } else {
-            Err(format!("{figure} is not a whole number from {LEAST} to {MOST}"))
+            Err(format!("{value} is not an integer from {MIN} to {MAX}"))
         }
     }
 }
 
-impl<const LEAST: u32, const MOST: u32> Whole<LEAST, MOST> {
+impl<const MIN: u32, const MAX: u32> BoundedInteger<MIN, MAX> {
     pub fn get(self) -> usize {
         self.0 as usize
     }
 }
 
-impl<const MOST: u32> Default for Whole<0, MOST> {
+impl<const MAX: u32> Default for BoundedInteger<0, MAX> {
     fn default() -> Self {
-        Whole(0)
+        BoundedInteger(0)
     }
 }
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -1,6 +1,8 @@
-//! Reads the settings object that simulator and platform alike hand to a director: into what the module is told at
-//! start, and into the names and limits that a front needs. A value that can't be, or that nobody here knows, ends the
-//! reading with the field's name; settings that nothing here asks for are passed over. Nothing here decides.
+//! Parser of the settings object (JSON) that the simulator and the platform pass to a director.
+//!
+//! It yields the director's configuration and the names and limits that a front end needs. An impossible value or an
+//! unknown enum value is an error that names the field. Unknown fields are ignored, as the object also holds settings
+//! that are not for directors. All times are in milliseconds, all data rates in kilobytes per second.
 
 mod bounds;
 
@@ -9,204 +11,257 @@
 use ashglade::time::Span;
 use serde::Deserialize;
 
-use crate::bounds::{Above0, From0, Part, Whole};
+use crate::bounds::{BoundedInteger, Fraction, NonNegative, Positive};
 
+/// The settings object.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Conf {
-    balancers: Whole<1>,
-    #[serde(default)]
-    discovery: Discovery,
-    family_info: Family,
-    #[serde(default)]
-    fees: Fees,
-    #[serde(default)]
-    goal: Goal,
+struct SettingsObject {
+    #[serde(rename = "balancers")]
+    director_count: BoundedInteger<1>,
+    #[serde(rename = "discovery", default)]
+    discovery_mode: DiscoveryMode,
+    #[serde(rename = "familyInfo")]
+    deployment: DeploymentSettings,
+    #[serde(rename = "fees", default)]
+    costs: CostSettings,
+    #[serde(rename = "goal", default)]
+    objective: ObjectiveSettings,
     limits: Limits,
-    #[serde(default)]
-    my_number: Whole,
-    my_zone: Whole<0, 255>,
+    /// Index of this director, from 0.
+    #[serde(rename = "myNumber", default)]
+    director_index: BoundedInteger,
+    /// Zone of this director, as an index into `zones`.
+    #[serde(rename = "myZone")]
+    zone: BoundedInteger<0, 255>,
     rules: Rules,
-    services: Vec<Service>,
-    #[serde(default)]
-    telemetry: Telemetry,
-    #[serde(default)]
-    azs: Vec<String>,
-    #[serde(default)]
-    host_types: Vec<String>,
-    #[serde(default)]
-    tenants: Vec<Tenant>,
+    #[serde(rename = "services")]
+    service_groups: Vec<ServiceGroupSettings>,
+    #[serde(rename = "telemetry", default)]
+    load_reports: LoadReportSettings,
+    #[serde(rename = "azs", default)]
+    zones: Vec<String>,
+    #[serde(rename = "hostTypes", default)]
+    models: Vec<String>,
+    #[serde(default)]
+    tenants: Vec<TenantSettings>,
 }
 
+/// One tenant.
 #[derive(Deserialize)]
-struct Tenant {
+struct TenantSettings {
     name: String,
 }
 
-/// How the list of media nodes comes.
+/// How a director gets the list of media nodes.
 #[derive(Clone, Copy, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Discovery {
+enum DiscoveryMode {
+    /// Updates are pushed to the director.
     #[default]
     Pushed,
+    /// The director has to fetch the list.
     OnRequest,
 }
 
+/// The ladder, the media parameters of each service group, and the topology of the media nodes. A list with an entry
+/// for each service group may be empty, which selects a default for all groups.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Family {
-    #[serde(default)]
-    class_live: Vec<bool>,
-    #[serde(default)]
-    class_scale: Vec<Above0>,
-    #[serde(default)]
-    class_seats: Vec<Whole>,
-    #[serde(default)]
-    floor_by_class: Vec<Whole>,
-    #[serde(default)]
-    highest_rung: Vec<Whole>,
-    #[serde(default)]
-    groups: Option<Whole<1, 65535>>,
-    #[serde(default)]
-    join_adds: Option<From0>,
-    #[serde(default)]
-    kind_streams: Vec<Above0>,
-    ladder_kb: Vec<Above0>,
-    level_worth: Vec<From0>,
-    link_unit_kb: Above0,
-    positions: Whole<1, 65535>,
-    #[serde(default)]
-    guard: From0,
-    #[serde(default)]
-    see: From0,
-    #[serde(default)]
-    uplink_kb: From0,
+struct DeploymentSettings {
+    #[serde(rename = "classLive", default)]
+    live_by_group: Vec<bool>,
+    #[serde(rename = "classScale", default)]
+    rate_scale_by_group: Vec<Positive>,
+    #[serde(rename = "classSeats", default)]
+    seats_by_group: Vec<BoundedInteger>,
+    #[serde(rename = "floorByClass", default)]
+    floor_rung_by_group: Vec<BoundedInteger>,
+    #[serde(rename = "highestRung", default)]
+    top_rung_by_group: Vec<BoundedInteger>,
+    #[serde(rename = "groups", default)]
+    rack_count: Option<BoundedInteger<1, 65535>>,
+    #[serde(rename = "joinAdds", default)]
+    live_join_fraction: Option<NonNegative>,
+    /// Maximum number of streams on a node, by machine model.
+    #[serde(rename = "kindStreams", default)]
+    max_streams_by_model: Vec<Positive>,
+    /// Data rate of each rung in kB/s, ascending.
+    #[serde(rename = "ladderKb")]
+    rung_rates: Vec<Positive>,
+    /// Utility of each rung.
+    #[serde(rename = "levelWorth")]
+    rung_utilities: Vec<NonNegative>,
+    #[serde(rename = "linkUnitKb")]
+    link_kb_per_s_per_weight: Positive,
+    #[serde(rename = "positions")]
+    cell_count: BoundedInteger<1, 65535>,
+    #[serde(rename = "guard", default)]
+    full_link_demand: NonNegative,
+    #[serde(rename = "see", default)]
+    report_delay_ms: NonNegative,
+    #[serde(rename = "uplinkKb", default)]
+    uplink_kb_per_s: NonNegative,
 }
 
+/// Costs of a director's actions.
 #[derive(Default, Deserialize)]
-struct Fees {
+struct CostSettings {
+    /// Cost of one probe per session, as a fraction of the total utility.
     #[serde(default)]
-    probe: From0,
+    probe: NonNegative,
 }
 
+/// The objective that the operators optimize.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Goal {
-    #[serde(default)]
-    worst_class: From0,
+struct ObjectiveSettings {
+    /// Weight of the worst-served service group.
+    #[serde(rename = "worstClass", default)]
+    worst_group_weight: NonNegative,
 }
 
+/// Actions that are available to a director, and their limits.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Limits {
-    #[serde(default)]
-    cancelling: bool,
-    /// Directors may send each other messages.
-    #[serde(default)]
-    may_tell: bool,
-    #[serde(default)]
-    max_retry_after: From0,
-    most_tries: Whole<1>,
-    #[serde(default)]
-    probing: bool,
-    #[serde(default)]
-    retry_after: bool,
-    #[serde(default)]
-    max_streams: Option<Whole<1>>,
-    #[serde(default)]
-    dial_timeout: Option<Above0>,
+    #[serde(rename = "cancelling", default)]
+    may_cancel: bool,
+    /// Whether directors may send messages to each other.
+    #[serde(rename = "mayTell", default)]
+    may_send_messages: bool,
+    #[serde(rename = "maxRetryAfter", default)]
+    max_retry_after_ms: NonNegative,
+    #[serde(rename = "mostTries")]
+    max_setups_per_session: BoundedInteger<1>,
+    #[serde(rename = "probing", default)]
+    may_probe: bool,
+    /// Whether a busy reply can carry a retry-after time.
+    #[serde(rename = "retryAfter", default)]
+    has_retry_after: bool,
+    #[serde(rename = "maxStreams", default)]
+    max_streams_per_connection: Option<BoundedInteger<1>>,
+    #[serde(rename = "dialTimeout", default)]
+    connect_timeout_ms: Option<Positive>,
 }
 
+/// Rules of the media nodes and of the system around them: age of the node list, overload, slow start and the retry
+/// budget.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Rules {
-    #[serde(default)]
-    ask_within: From0,
-    fall: From0,
-    fall_multiple: Above0,
-    start_capacity: Part,
-    warm_after: From0,
-    extra_free: Option<From0>,
-    extra_per_request: Option<From0>,
-    resend_span: Option<Above0>,
+    #[serde(rename = "askWithin", default)]
+    node_list_max_age_ms: NonNegative,
+    #[serde(rename = "fall")]
+    overload_window_ms: NonNegative,
+    #[serde(rename = "fallMultiple")]
+    overload_multiple: Positive,
+    #[serde(rename = "startCapacity")]
+    slow_start_initial_fraction: Fraction,
+    #[serde(rename = "warmAfter")]
+    slow_start_duration_ms: NonNegative,
+    #[serde(rename = "extraFree")]
+    base_retries: Option<NonNegative>,
+    #[serde(rename = "extraPerRequest")]
+    retries_per_session: Option<NonNegative>,
+    /// Window of the retry budget; without it, retries have no budget.
+    #[serde(rename = "resendSpan")]
+    retry_budget_window_ms: Option<Positive>,
 }
 
+/// One service group.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Service {
+struct ServiceGroupSettings {
     #[serde(default)]
     name: String,
-    aim: Above0,
-    #[serde(default)]
-    deadline: Option<Above0>,
-    credit: From0,
-    effect: Effect,
-    #[serde(default)]
-    group: Group,
-    #[serde(default)]
-    repeat_window: From0,
+    #[serde(rename = "aim")]
+    start_target_ms: Positive,
+    #[serde(rename = "deadline", default)]
+    setup_timeout_ms: Option<Positive>,
+    #[serde(rename = "credit")]
+    utility: NonNegative,
+    #[serde(rename = "effect")]
+    retry_safety: RetrySafetySetting,
+    #[serde(rename = "group", default)]
+    retry_scope: RetryScopeSetting,
+    #[serde(rename = "repeatWindow", default)]
+    retry_window_ms: NonNegative,
 }
 
+/// The setting for [`RetrySafety`].
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Effect {
+enum RetrySafetySetting {
     Retryable,
     Dedup,
     Fragile,
 }
 
+/// The setting for [`RetryScope`].
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Group {
+enum RetryScopeSetting {
     #[default]
     All,
     Zone,
     Cell,
 }
 
+/// Load reports of the media nodes.
 #[derive(Default, Deserialize)]
-struct Telemetry {
-    #[serde(default)]
-    fields: Vec<String>,
-    #[serde(default)]
-    via: Via,
+struct LoadReportSettings {
+    /// Names of the metrics in a report, in their order.
+    #[serde(rename = "fields", default)]
+    metrics: Vec<String>,
+    #[serde(rename = "via", default)]
+    delivery: ReportDelivery,
 }
 
-/// How load reports come.
+/// How a director gets load reports.
 #[derive(Clone, Copy, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Via {
+enum ReportDelivery {
+    /// With any response of a media node.
     Piggyback,
+    /// With responses to probes only.
     Pull,
+    /// Not at all.
     #[default]
     Silent,
 }
 
-/// All that is read from the settings.
+/// The parsed settings.
 #[derive(Clone, Debug)]
 pub struct Site {
+    /// Configuration of the director.
     pub headend: DirectorConfig,
+    /// Names that the settings define.
     pub names: Names,
-    /// By service group: the longest time that a viewer waits for an answer, where told.
+    /// For each service group, the longest setup timeout of its viewers, if limited.
     pub setup_timeouts: Vec<Option<Span>>,
-    /// Directors may send each other messages.
+    /// Whether directors may send messages to each other.
     pub may_tell: bool,
-    /// SETUPs on one connection at once, where told.
+    /// Maximum number of concurrent SETUPs on one connection, if limited.
     pub streams: Option<usize>,
-    /// A connection that isn't up by then doesn't come up.
+    /// The time after which an attempt to connect to a media node fails.
     pub dial_timeout: Span,
 }
 
-/// What the settings name; an id is a name's place in its list.
+/// The names that the settings define. A numeric id is the index of the name in its list.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
+    /// Service groups.
     pub groups: Vec<String>,
+    /// Tenants; may be empty.
     pub tenants: Vec<String>,
+    /// Zones.
     pub zones: Vec<String>,
+    /// Machine models of media nodes.
     pub models: Vec<String>,
 }
 
-/// The field at fault and what is wrong with it.
+/// Formats a deserialization error as the path of the field and the cause.
 pub fn field(error: &serde_path_to_error::Error<serde_json::Error>) -> String {
     match error.path().to_string().as_str() {
         "." => error.inner().to_string(),
@@ -214,153 +269,183 @@
     }
 }
 
-/// A name's place in its list.
+/// Returns the index of a name in its list.
 pub fn place(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|known| known == name)
 }
 
-const DIAL_TIMEOUT_MS: f64 = 250.0;
+const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 250.0;
 
+/// Parses and validates a settings object. `seed` seeds the director's random choices.
+///
+/// # Errors
+///
+/// Returns a message that names the field, if one has an impossible value.
 pub fn read(seed: u64, text: &[u8]) -> Result<Site, String> {
     let json = &mut serde_json::Deserializer::from_slice(text);
-    let conf: Conf =
+    let settings: SettingsObject =
         serde_path_to_error::deserialize(json).map_err(|e| format!("settings: {}", field(&e)))?;
-    agree(&conf).map_err(|what| format!("settings: {what}"))?;
-    let limits = &conf.limits;
+    validate(&settings).map_err(|error| format!("settings: {error}"))?;
+    let limits = &settings.limits;
     Ok(Site {
-        headend: headend(seed, &conf),
-        setup_timeouts: conf.services.iter().map(|s| s.deadline.map(|d| Span::from_ms(d.get()))).collect(),
-        may_tell: limits.may_tell,
-        streams: limits.max_streams.map(|most| most.get()),
-        dial_timeout: Span::from_ms(limits.dial_timeout.map_or(DIAL_TIMEOUT_MS, Above0::get)),
+        headend: director_config(seed, &settings),
+        setup_timeouts: settings
+            .service_groups
+            .iter()
+            .map(|group| group.setup_timeout_ms.map(|ms| Span::from_ms(ms.get())))
+            .collect(),
+        may_tell: limits.may_send_messages,
+        streams: limits.max_streams_per_connection.map(|max| max.get()),
+        dial_timeout: Span::from_ms(
+            limits.connect_timeout_ms.map_or(DEFAULT_CONNECT_TIMEOUT_MS, Positive::get),
+        ),
         names: Names {
-            groups: conf.services.into_iter().map(|s| s.name).collect(),
-            tenants: conf.tenants.into_iter().map(|t| t.name).collect(),
-            zones: conf.azs,
-            models: conf.host_types,
+            groups: settings.service_groups.into_iter().map(|group| group.name).collect(),
+            tenants: settings.tenants.into_iter().map(|tenant| tenant.name).collect(),
+            zones: settings.zones,
+            models: settings.models,
         },
     })
 }
 
-/// What one field can't tell alone; the error names the field that can't stand beside the other.
-fn agree(conf: &Conf) -> Result<(), String> {
-    let family = &conf.family_info;
-    let rungs = family.ladder_kb.len();
-    if rungs == 0 || rungs > usize::from(u8::MAX) {
-        return Err(format!("familyInfo.ladderKb: a ladder of {rungs} rungs"));
+/// Validates fields against each other. The error names the field that contradicts another.
+fn validate(settings: &SettingsObject) -> Result<(), String> {
+    let deployment = &settings.deployment;
+    let rung_count = deployment.rung_rates.len();
+    if rung_count == 0 || rung_count > usize::from(u8::MAX) {
+        return Err(format!("familyInfo.ladderKb: {rung_count} rungs, but a ladder has 1 to 255"));
     }
-    if family.level_worth.len() != rungs {
-        let worths = family.level_worth.len();
-        return Err(format!("familyInfo.levelWorth: {worths} figures, but ladderKb has {rungs} rungs"));
+    if deployment.rung_utilities.len() != rung_count {
+        let utility_count = deployment.rung_utilities.len();
+        return Err(format!(
+            "familyInfo.levelWorth: {utility_count} values, but ladderKb has {rung_count} rungs"
+        ));
     }
-    let falls = |list: &[f64]| list.windows(2).position(|two| two[1] < two[0]).map(|at| at + 1);
-    let rates: Vec<f64> = family.ladder_kb.iter().map(|kb| kb.get()).collect();
-    if let Some(at) = falls(&rates) {
-        return Err(format!("familyInfo.ladderKb[{at}]: {} is under the rung below", rates[at]));
+    let first_decrease =
+        |list: &[f64]| list.windows(2).position(|pair| pair[1] < pair[0]).map(|index| index + 1);
+    let rates: Vec<f64> = deployment.rung_rates.iter().map(|rate| rate.get()).collect();
+    if let Some(index) = first_decrease(&rates) {
+        return Err(format!(
+            "familyInfo.ladderKb[{index}]: {} is less than the rate of the rung below",
+            rates[index]
+        ));
     }
-    if conf.services.is_empty() {
-        return Err("services: none are named".into());
+    if settings.service_groups.is_empty() {
+        return Err("services: the list is empty".into());
     }
     let lists = [
-        ("classLive", family.class_live.len()),
-        ("classScale", family.class_scale.len()),
-        ("classSeats", family.class_seats.len()),
-        ("floorByClass", family.floor_by_class.len()),
-        ("highestRung", family.highest_rung.len()),
+        ("classLive", deployment.live_by_group.len()),
+        ("classScale", deployment.rate_scale_by_group.len()),
+        ("classSeats", deployment.seats_by_group.len()),
+        ("floorByClass", deployment.floor_rung_by_group.len()),
+        ("highestRung", deployment.top_rung_by_group.len()),
     ];
     for (name, count) in lists {
-        if count != 0 && count != conf.services.len() {
-            let services = conf.services.len();
-            return Err(format!("familyInfo.{name}: {count} figures for {services} services"));
+        if count != 0 && count != settings.service_groups.len() {
+            let group_count = settings.service_groups.len();
+            return Err(format!("familyInfo.{name}: {count} values for {group_count} services"));
         }
     }
-    for (i, floor) in family.floor_by_class.iter().enumerate() {
-        let top = family.highest_rung.get(i).map_or(rungs - 1, |top| top.get().min(rungs - 1));
+    for (i, floor) in deployment.floor_rung_by_group.iter().enumerate() {
+        let top =
+            deployment.top_rung_by_group.get(i).map_or(rung_count - 1, |top| top.get().min(rung_count - 1));
         if floor.get() > top {
             let floor = floor.get();
-            return Err(format!("familyInfo.floorByClass[{i}]: rung {floor} is above the highest, {top}"));
+            return Err(format!(
+                "familyInfo.floorByClass[{i}]: rung {floor} is above the highest rung, {top}"
+            ));
         }
     }
-    if !conf.azs.is_empty() && conf.my_zone.get() >= conf.azs.len() {
-        return Err(format!("myZone: {} is not one of the {} azs", conf.my_zone.get(), conf.azs.len()));
+    if !settings.zones.is_empty() && settings.zone.get() >= settings.zones.len() {
+        return Err(format!(
+            "myZone: {} is not the index of one of the {} azs",
+            settings.zone.get(),
+            settings.zones.len()
+        ));
     }
-    if conf.discovery == Discovery::OnRequest && conf.rules.ask_within.get() <= 0.0 {
-        return Err("rules.askWithin: the list comes on request, and no time is told to ask within".into());
+    if settings.discovery_mode == DiscoveryMode::OnRequest && settings.rules.node_list_max_age_ms.get() <= 0.0
+    {
+        return Err("rules.askWithin: must be greater than 0 if discovery is on_request".into());
     }
     Ok(())
 }
 
-fn headend(seed: u64, conf: &Conf) -> DirectorConfig {
-    let family = &conf.family_info;
-    let rules = &conf.rules;
-    let ration = rules.resend_span.map(|span| RetryBudget {
-        base_retries: rules.extra_free.map_or(0.0, From0::get),
-        retries_per_session: rules.extra_per_request.map_or(0.0, From0::get),
-        window: Span::from_ms(span.get()),
+fn director_config(seed: u64, settings: &SettingsObject) -> DirectorConfig {
+    let deployment = &settings.deployment;
+    let rules = &settings.rules;
+    let retry_budget = rules.retry_budget_window_ms.map(|window_ms| RetryBudget {
+        base_retries: rules.base_retries.map_or(0.0, NonNegative::get),
+        retries_per_session: rules.retries_per_session.map_or(0.0, NonNegative::get),
+        window: Span::from_ms(window_ms.get()),
     });
-    let limits = &conf.limits;
-    let rungs = family.ladder_kb.iter().zip(&family.level_worth);
+    let limits = &settings.limits;
+    let rungs = deployment.rung_rates.iter().zip(&deployment.rung_utilities);
     DirectorConfig {
         seed,
-        zone: ZoneId(conf.my_zone.get() as u8),
-        director_index: conf.my_number.get(),
-        director_count: conf.balancers.get(),
-        groups: conf.services.iter().enumerate().map(|(i, service)| group(i, service, family)).collect(),
-        ladder: rungs.map(|(kb, worth)| (kb.get(), worth.get())).collect(),
-        max_streams: family.kind_streams.iter().map(|n| n.get()).collect(),
-        cell_count: family.positions.get() as u16,
-        rack_count: family.groups.map_or(1, |racks| racks.get()) as u16,
-        link_kb_per_s_per_weight: family.link_unit_kb.get(),
-        uplink_kb_per_s: family.uplink_kb.get(),
-        live_join_fraction: family.join_adds.map_or(1.0, From0::get),
-        worst_group_weight: conf.goal.worst_class.get(),
-        full_link_demand: family.guard.get(),
-        report_delay: Span::from_ms(family.see.get()),
-        load_metrics: conf.telemetry.fields.iter().map(|name| gauge(name)).collect(),
-        probe_only: conf.telemetry.via == Via::Pull,
-        may_probe: limits.probing,
-        probe_cost: conf.fees.probe.get(),
-        may_cancel: limits.cancelling,
-        max_retry_after: limits.retry_after.then(|| Span::from_ms(limits.max_retry_after.get())),
-        max_setups_per_session: limits.most_tries.get(),
-        retry_budget: ration,
-        slow_start_initial_fraction: rules.start_capacity.get(),
-        slow_start_duration: Span::from_ms(rules.warm_after.get()),
-        overload_multiple: rules.fall_multiple.get(),
-        overload_window: Span::from_ms(rules.fall.get()),
-        node_list_max_age: (conf.discovery == Discovery::OnRequest)
-            .then(|| Span::from_ms(rules.ask_within.get())),
+        zone: ZoneId(settings.zone.get() as u8),
+        director_index: settings.director_index.get(),
+        director_count: settings.director_count.get(),
+        groups: settings
+            .service_groups
+            .iter()
+            .enumerate()
+            .map(|(i, group)| service_group(i, group, deployment))
+            .collect(),
+        ladder: rungs.map(|(rate, utility)| (rate.get(), utility.get())).collect(),
+        max_streams: deployment.max_streams_by_model.iter().map(|max| max.get()).collect(),
+        cell_count: deployment.cell_count.get() as u16,
+        rack_count: deployment.rack_count.map_or(1, |count| count.get()) as u16,
+        link_kb_per_s_per_weight: deployment.link_kb_per_s_per_weight.get(),
+        uplink_kb_per_s: deployment.uplink_kb_per_s.get(),
+        live_join_fraction: deployment.live_join_fraction.map_or(1.0, NonNegative::get),
+        worst_group_weight: settings.objective.worst_group_weight.get(),
+        full_link_demand: deployment.full_link_demand.get(),
+        report_delay: Span::from_ms(deployment.report_delay_ms.get()),
+        load_metrics: settings.load_reports.metrics.iter().map(|name| gauge(name)).collect(),
+        probe_only: settings.load_reports.delivery == ReportDelivery::Pull,
+        may_probe: limits.may_probe,
+        probe_cost: settings.costs.probe.get(),
+        may_cancel: limits.may_cancel,
+        max_retry_after: limits.has_retry_after.then(|| Span::from_ms(limits.max_retry_after_ms.get())),
+        max_setups_per_session: limits.max_setups_per_session.get(),
+        retry_budget,
+        slow_start_initial_fraction: rules.slow_start_initial_fraction.get(),
+        slow_start_duration: Span::from_ms(rules.slow_start_duration_ms.get()),
+        overload_multiple: rules.overload_multiple.get(),
+        overload_window: Span::from_ms(rules.overload_window_ms.get()),
+        node_list_max_age: (settings.discovery_mode == DiscoveryMode::OnRequest)
+            .then(|| Span::from_ms(rules.node_list_max_age_ms.get())),
     }
 }
 
-fn group(i: usize, service: &Service, family: &Family) -> ServiceGroup {
-    let highest = family.ladder_kb.len() - 1;
-    let rung = |list: &[Whole], left_out: usize| {
-        Rung(list.get(i).map_or(left_out, |rung| rung.get()).min(highest) as u8)
+fn service_group(i: usize, group: &ServiceGroupSettings, deployment: &DeploymentSettings) -> ServiceGroup {
+    let highest = deployment.rung_rates.len() - 1;
+    let rung = |list: &[BoundedInteger], default: usize| {
+        Rung(list.get(i).map_or(default, |rung| rung.get()).min(highest) as u8)
     };
     ServiceGroup {
-        start_target: Span::from_ms(service.aim.get()),
-        utility: service.credit.get(),
-        retry_safety: match service.effect {
-            Effect::Retryable => RetrySafety::Safe,
-            Effect::Dedup => RetrySafety::Dedup,
-            Effect::Fragile => RetrySafety::Fragile,
+        start_target: Span::from_ms(group.start_target_ms.get()),
+        utility: group.utility.get(),
+        retry_safety: match group.retry_safety {
+            RetrySafetySetting::Retryable => RetrySafety::Safe,
+            RetrySafetySetting::Dedup => RetrySafety::Dedup,
+            RetrySafetySetting::Fragile => RetrySafety::Fragile,
         },
-        retry_scope: match service.group {
-            Group::All => RetryScope::Anywhere,
-            Group::Zone => RetryScope::SameZone,
-            Group::Cell => RetryScope::SameCell,
+        retry_scope: match group.retry_scope {
+            RetryScopeSetting::All => RetryScope::Anywhere,
+            RetryScopeSetting::Zone => RetryScope::SameZone,
+            RetryScopeSetting::Cell => RetryScope::SameCell,
         },
-        retry_window: Span::from_ms(service.repeat_window.get()),
-        live: family.class_live.get(i).copied().unwrap_or(false),
-        rate_scale: family.class_scale.get(i).map_or(1.0, |scale| scale.get()),
-        floor_rung: rung(&family.floor_by_class, 0),
-        top_rung: rung(&family.highest_rung, highest),
-        seats: family.class_seats.get(i).map_or(0, |seats| seats.get()),
+        retry_window: Span::from_ms(group.retry_window_ms.get()),
+        live: deployment.live_by_group.get(i).copied().unwrap_or(false),
+        rate_scale: deployment.rate_scale_by_group.get(i).map_or(1.0, |scale| scale.get()),
+        floor_rung: rung(&deployment.floor_rung_by_group, 0),
+        top_rung: rung(&deployment.top_rung_by_group, highest),
+        seats: deployment.seats_by_group.get(i).map_or(0, |seats| seats.get()),
     }
 }
 
-/// What a figure of a load report tells, by its name.
+/// Returns the load metric that a field of a load report carries, from the field's name in the settings.
 pub fn gauge(name: &str) -> LoadMetric {
     match name {
         "inflight" => LoadMetric::Streams,
--- a/crates/site/tests/refused.rs
+++ b/crates/site/tests/invalid_settings.rs
@@ -1,4 +1,4 @@
-//! Settings that can't be, or that nobody here knows, end the reading with the field's name.
+//! Guards against invalid settings that are accepted, or rejected with an error that doesn't name the field.
 
 use expect_test::expect;
 
@@ -12,10 +12,11 @@
 "telemetry": {"fields": ["util", "moods"], "via": "pull"}, "somethingNew": {"of": "no use here"}}"#;
 
 #[test]
-fn what_cannot_be_or_is_not_known_is_refused_with_its_field() {
+fn invalid_settings_are_rejected_with_the_field_name() {
     let site = ashglade_site::read(7, SETTINGS.as_bytes()).unwrap();
-    let tops: Vec<u8> = site.headend.groups.iter().map(|group| group.top_rung.0).collect();
-    let mut shown = format!("as it stands: tops {tops:?}, reports {:?}\n", site.headend.load_metrics);
+    let top_rungs: Vec<u8> = site.headend.groups.iter().map(|group| group.top_rung.0).collect();
+    let mut results =
+        format!("unedited: top rungs {top_rungs:?}, load metrics {:?}\n", site.headend.load_metrics);
     let edits = [
         ("\"balancers\": 2.0", "\"balancers\": 0"),
         ("\"balancers\": 2.0", "\"balancers\": 2.5"),
@@ -39,33 +40,34 @@
         ("\"group\": \"cell\"", "\"group\": \"shelf\""),
         ("\"via\": \"pull\"", "\"via\": \"pigeon\""),
     ];
-    for (is, becomes) in edits {
-        let text = SETTINGS.replace(is, becomes);
-        let told = ashglade_site::read(7, text.as_bytes()).map_or_else(|error| error, |_| "taken".into());
-        shown += &format!("{becomes}: {}\n", told);
+    for (original, replacement) in edits {
+        let text = SETTINGS.replace(original, replacement);
+        let result =
+            ashglade_site::read(7, text.as_bytes()).map_or_else(|error| error, |_| "accepted".into());
+        results += &format!("{replacement}: {}\n", result);
     }
     expect![[r#"
-        as it stands: tops [2, 2], reports [Link, Other]
-        "balancers": 0: settings: balancers: 0 is not a whole number from 1 to 4294967295 at line 1 column 15
-        "balancers": 2.5: settings: balancers: 2.5 is not a whole number from 1 to 4294967295 at line 1 column 17
-        "myZone": 2: settings: myZone: 2 is not one of the 2 azs
+        unedited: top rungs [2, 2], load metrics [Link, Other]
+        "balancers": 0: settings: balancers: 0 is not an integer from 1 to 4294967295 at line 1 column 15
+        "balancers": 2.5: settings: balancers: 2.5 is not an integer from 1 to 4294967295 at line 1 column 17
+        "myZone": 2: settings: myZone: 2 is not the index of one of the 2 azs
         by_post: settings: discovery: unknown variant `by_post`, expected `pushed` or `on_request` at line 1 column 41
-        "askWithin": 0: settings: rules.askWithin: the list comes on request, and no time is told to ask within
-        []: settings: familyInfo.ladderKb: a ladder of 0 rungs
-        [100, 0, 400]: settings: familyInfo.ladderKb[1]: 0 is not above 0 at line 2 column 36
-        [100, 400, 200]: settings: familyInfo.ladderKb[2]: 200 is under the rung below
-        [0.3, 1]: settings: familyInfo.levelWorth: 2 figures, but ladderKb has 3 rungs
-        "positions": 70000: settings: familyInfo.positions: 70000 is not a whole number from 1 to 65535 at line 2 column 111
-        "linkUnitKb": -1: settings: familyInfo.linkUnitKb: -1 is not above 0 at line 2 column 89
-        [0, 4, 4]: settings: familyInfo.classSeats: 3 figures for 2 services
-        [0, 3]: settings: familyInfo.floorByClass[1]: rung 3 is above the highest, 2
-        "mostTries": 0: settings: limits.mostTries: 0 is not a whole number from 1 to 4294967295 at line 4 column 25
-        "startCapacity": 1.5: settings: rules.startCapacity: 1.5 is not from 0 to 1 at line 5 column 82
-        "warmAfter": -5: settings: rules.warmAfter: -5 is not 0 or more at line 5 column 100
+        "askWithin": 0: settings: rules.askWithin: must be greater than 0 if discovery is on_request
+        []: settings: familyInfo.ladderKb: 0 rungs, but a ladder has 1 to 255
+        [100, 0, 400]: settings: familyInfo.ladderKb[1]: 0 is not greater than 0 at line 2 column 36
+        [100, 400, 200]: settings: familyInfo.ladderKb[2]: 200 is less than the rate of the rung below
+        [0.3, 1]: settings: familyInfo.levelWorth: 2 values, but ladderKb has 3 rungs
+        "positions": 70000: settings: familyInfo.positions: 70000 is not an integer from 1 to 65535 at line 2 column 111
+        "linkUnitKb": -1: settings: familyInfo.linkUnitKb: -1 is not greater than 0 at line 2 column 89
+        [0, 4, 4]: settings: familyInfo.classSeats: 3 values for 2 services
+        [0, 3]: settings: familyInfo.floorByClass[1]: rung 3 is above the highest rung, 2
+        "mostTries": 0: settings: limits.mostTries: 0 is not an integer from 1 to 4294967295 at line 4 column 25
+        "startCapacity": 1.5: settings: rules.startCapacity: 1.5 is not between 0 and 1 at line 5 column 82
+        "warmAfter": -5: settings: rules.warmAfter: -5 is not 0 or greater at line 5 column 100
         "warmAfter": 1e999: settings: rules.warmAfter: number out of range at line 5 column 102
-        "aim": 0: settings: services[1].aim: 0 is not above 0 at line 7 column 9
+        "aim": 0: settings: services[1].aim: 0 is not greater than 0 at line 7 column 9
         "sometimes": settings: services[1].effect: unknown variant `sometimes`, expected one of `retryable`, `dedup`, `fragile` at line 7 column 47
         "group": "shelf": settings: services[1].group: unknown variant `shelf`, expected one of `all`, `zone`, `cell` at line 7 column 61
         "via": "pigeon": settings: telemetry.via: unknown variant `pigeon`, expected one of `piggyback`, `pull`, `silent` at line 8 column 58
-    "#]].assert_eq(&shown);
+    "#]].assert_eq(&results);
 }
