--- a/crates/site/src/bounds.rs
+++ b/crates/site/src/bounds.rs
@@ -1,5 +1,5 @@
-//! Numbers with bounds. A value out of bounds fails while it is deserialized, so that the error has the path of its
-//! field.
+//! Numbers with bounds. A value out of bounds fails while it is deserialized, so that the error has the path
+//! of its field.
 
 use serde::Deserialize;
 
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -1,8 +1,8 @@
 //! Parser of the settings object (JSON) that the simulator and the platform pass to a director.
 //!
-//! It yields the director's configuration and the names and limits that a front end needs. An impossible value or an
-//! unknown enum value is an error that names the field. Unknown fields are ignored, as the object also holds settings
-//! that are not for directors. All times are in milliseconds, all data rates in kilobytes per second.
+//! It yields the director's configuration and the names and limits that a front end needs. An impossible
+//! value or an unknown enum value is an error that names the field. Unknown fields are ignored. All times are
+//! in milliseconds, all data rates in kilobytes per second.
 
 mod bounds;
 
@@ -64,8 +64,8 @@
     OnRequest,
 }
 
-/// The ladder, the media parameters of each service group, and the topology of the media nodes. A list with an entry
-/// for each service group may be empty, which selects a default for all groups.
+/// The ladder, the media parameters of each service group, and the topology of the media nodes. A list with
+/// an entry for each service group may be empty, which selects a default for all groups.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct DeploymentSettings {
@@ -145,8 +145,8 @@
     connect_timeout_ms: Option<Positive>,
 }
 
-/// Rules of the media nodes and of the system around them: age of the node list, overload, slow start and the retry
-/// budget.
+/// Rules of the media nodes and of the system around them: age of the node list, overload, slow start and the
+/// retry budget.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Rules {
--- a/crates/wirehost/src/frames.rs
+++ b/crates/wirehost/src/frames.rs
@@ -1,56 +1,61 @@
-//! Frames and the fields in them: little-endian, unpadded.
+//! Reading of frames and their fields, and writing of replies. All fields are little-endian and unpadded.
+//!
+//! A frame holds one batch: a header of [`BATCH_HEADER_BYTES`] bytes (index `u32`, clock `f64` in
+//! milliseconds, length of the whole frame in bytes `u32`, number of records `u32`), then the records. Each
+//! record starts with a `u8` code that determines its fields.
 
 use std::fmt;
 use std::io::{ErrorKind, Read};
 
 use ashglade::ids::NodeId;
 
-/// Bytes of a batch's header: index, clock, length of the frame, count of records.
-pub const HEADER: usize = 20;
-/// Bytes of one entry of a list of nodes.
-pub const ENTRY: usize = 23;
+/// Length of a batch's header.
+pub const BATCH_HEADER_BYTES: usize = 20;
+/// Length of one entry of a node list.
+pub const NODE_LIST_ENTRY_BYTES: usize = 23;
 
-/// What is wrong with the input, and at which of its bytes.
+/// An error in the input, with its position.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Trouble {
-    at: u64,
-    what: String,
+pub struct FrameError {
+    /// Bytes from the start of the frame or, after [`FrameError::with_base`], of the input.
+    offset: u64,
+    message: String,
 }
 
-impl Trouble {
-    pub fn new(at: u64, what: impl Into<String>) -> Trouble {
-        Trouble { at, what: what.into() }
+impl FrameError {
+    pub fn new(offset: u64, message: impl Into<String>) -> FrameError {
+        FrameError { offset, message: message.into() }
     }
 
-    /// The same, with `bytes` of input before the frame that it counts from.
-    pub fn after(self, bytes: u64) -> Trouble {
-        Trouble { at: self.at + bytes, ..self }
+    /// Converts an offset within a frame to one within the input, where the frame starts at `base` bytes.
+    pub fn with_base(self, base: u64) -> FrameError {
+        FrameError { offset: self.offset + base, ..self }
     }
 }
 
-impl fmt::Display for Trouble {
+impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} at byte {} of the input", self.what, self.at)
+        write!(f, "{} at byte {} of the input", self.message, self.offset)
     }
 }
 
-/// Reads one frame whole; false at a clean end of input.
-pub fn read(input: &mut impl Read, frame: &mut Vec<u8>, start: u64) -> Result<bool, Trouble> {
+/// Reads one whole frame that starts at byte `start` of the input. Returns false if the input ends before it.
+pub fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>, start: u64) -> Result<bool, FrameError> {
     frame.clear();
-    fill(input, frame, HEADER, start)?;
+    read_up_to(input, frame, BATCH_HEADER_BYTES, start)?;
     if frame.is_empty() {
         return Ok(false);
     }
-    if frame.len() < HEADER {
-        return Err(Trouble::new(start + frame.len() as u64, "input ends within a batch's header"));
+    if frame.len() < BATCH_HEADER_BYTES {
+        return Err(FrameError::new(start + frame.len() as u64, "input ends within the header of a batch"));
     }
-    let length = Fields::new(frame, 12).u32()? as usize;
-    if length < HEADER {
-        return Err(Trouble::new(start + 12, format!("a batch can't be {length} bytes long")));
+    let length = FieldReader::new(frame, 12).u32()? as usize;
+    if length < BATCH_HEADER_BYTES {
+        return Err(FrameError::new(start + 12, format!("batch length {length} is shorter than its header")));
     }
-    fill(input, frame, length - HEADER, start)?;
+    read_up_to(input, frame, length - BATCH_HEADER_BYTES, start)?;
     if frame.len() < length {
-        return Err(Trouble::new(
+        return Err(FrameError::new(
             start + frame.len() as u64,
             format!("input ends within a batch of {length} bytes"),
         ));
@@ -58,109 +63,120 @@
     Ok(true)
 }
 
-fn fill(input: &mut impl Read, frame: &mut Vec<u8>, bytes: usize, start: u64) -> Result<(), Trouble> {
-    match input.take(bytes as u64).read_to_end(frame) {
+/// Appends up to `max_bytes` bytes to the frame, fewer if the input ends before.
+fn read_up_to(
+    input: &mut impl Read,
+    frame: &mut Vec<u8>,
+    max_bytes: usize,
+    start: u64,
+) -> Result<(), FrameError> {
+    match input.take(max_bytes as u64).read_to_end(frame) {
         Ok(_) => Ok(()),
         Err(e) if e.kind() == ErrorKind::Interrupted => Ok(()),
-        Err(e) => Err(Trouble::new(start + frame.len() as u64, format!("can't read: {e}"))),
+        Err(e) => Err(FrameError::new(start + frame.len() as u64, format!("failed to read the input: {e}"))),
     }
 }
 
-/// Takes one field after another from a frame.
+/// Reads the fields of a frame in their order.
 #[derive(Clone)]
-pub struct Fields<'a> {
+pub struct FieldReader<'a> {
     bytes: &'a [u8],
-    at: usize,
+    offset: usize,
 }
 
-impl<'a> Fields<'a> {
-    pub fn new(bytes: &'a [u8], at: usize) -> Fields<'a> {
-        Fields { bytes, at }
+impl<'a> FieldReader<'a> {
+    /// Starts at an offset in bytes.
+    pub fn new(bytes: &'a [u8], offset: usize) -> FieldReader<'a> {
+        FieldReader { bytes, offset }
     }
 
-    pub fn at(&self) -> usize {
-        self.at
+    /// Returns the offset of the next field in bytes.
+    pub fn offset(&self) -> usize {
+        self.offset
     }
 
     pub fn is_empty(&self) -> bool {
-        self.at >= self.bytes.len()
+        self.offset >= self.bytes.len()
     }
 
-    pub fn trouble(&self, what: impl Into<String>) -> Trouble {
-        Trouble::new(self.at as u64, what)
+    /// Returns an error at the next field.
+    pub fn error(&self, message: impl Into<String>) -> FrameError {
+        FrameError::new(self.offset as u64, message)
     }
 
-    pub fn take(&mut self, count: usize) -> Result<&'a [u8], Trouble> {
-        let end = self.at.checked_add(count).filter(|&end| end <= self.bytes.len());
-        let end =
-            end.ok_or_else(|| self.trouble(format!("the batch ends within a field of {count} bytes")))?;
-        let field = &self.bytes[self.at..end];
-        self.at = end;
+    /// Reads a field of `count` bytes.
+    pub fn bytes(&mut self, count: usize) -> Result<&'a [u8], FrameError> {
+        let end = self.offset.checked_add(count).filter(|&end| end <= self.bytes.len());
+        let end = end.ok_or_else(|| self.error(format!("batch ends within a field of {count} bytes")))?;
+        let field = &self.bytes[self.offset..end];
+        self.offset = end;
         Ok(field)
     }
 
-    fn array<const N: usize>(&mut self) -> Result<[u8; N], Trouble> {
+    fn array<const N: usize>(&mut self) -> Result<[u8; N], FrameError> {
         let mut field = [0; N];
-        field.copy_from_slice(self.take(N)?);
+        field.copy_from_slice(self.bytes(N)?);
         Ok(field)
     }
 
-    pub fn u8(&mut self) -> Result<u8, Trouble> {
+    pub fn u8(&mut self) -> Result<u8, FrameError> {
         Ok(self.array::<1>()?[0])
     }
 
-    pub fn u16(&mut self) -> Result<u16, Trouble> {
+    pub fn u16(&mut self) -> Result<u16, FrameError> {
         self.array().map(u16::from_le_bytes)
     }
 
-    pub fn u32(&mut self) -> Result<u32, Trouble> {
+    pub fn u32(&mut self) -> Result<u32, FrameError> {
         self.array().map(u32::from_le_bytes)
     }
 
-    pub fn u64(&mut self) -> Result<u64, Trouble> {
+    pub fn u64(&mut self) -> Result<u64, FrameError> {
         self.array().map(u64::from_le_bytes)
     }
 
-    pub fn f32(&mut self) -> Result<f32, Trouble> {
+    pub fn f32(&mut self) -> Result<f32, FrameError> {
         self.array().map(f32::from_le_bytes)
     }
 
-    pub fn f64(&mut self) -> Result<f64, Trouble> {
+    pub fn f64(&mut self) -> Result<f64, FrameError> {
         self.array().map(f64::from_le_bytes)
     }
 
-    pub fn node(&mut self) -> Result<NodeId, Trouble> {
+    /// Reads a node id, an integer of 6 bytes.
+    pub fn node_id(&mut self) -> Result<NodeId, FrameError> {
         let mut wide = [0; 8];
-        wide[..6].copy_from_slice(self.take(6)?);
+        wide[..6].copy_from_slice(self.bytes(6)?);
         Ok(NodeId(u64::from_le_bytes(wide)))
     }
 
-    /// A count of bytes, then as many bytes.
-    pub fn text(&mut self) -> Result<&'a [u8], Trouble> {
-        let count = self.u32()? as usize;
-        self.take(count)
+    /// Reads a `u32` length, then as many bytes.
+    pub fn length_prefixed(&mut self) -> Result<&'a [u8], FrameError> {
+        let length = self.u32()? as usize;
+        self.bytes(length)
     }
 }
 
-/// A reply being written.
+/// Writes the fields of a reply in their order.
 #[derive(Default)]
-pub struct Reply {
+pub struct ReplyWriter {
     pub bytes: Vec<u8>,
 }
 
-impl Reply {
-    pub fn put(&mut self, field: &[u8]) -> &mut Reply {
+impl ReplyWriter {
+    pub fn put(&mut self, field: &[u8]) -> &mut ReplyWriter {
         self.bytes.extend_from_slice(field);
         self
     }
 
-    /// A count of bytes, then as many bytes, cut to `most`.
-    pub fn text(&mut self, text: &[u8], most: usize) -> &mut Reply {
-        let text = &text[..text.len().min(most)];
-        self.put(&(text.len() as u16).to_le_bytes()).put(text)
+    /// Writes a `u16` length, then as many bytes. Bytes beyond `max_bytes` are cut off.
+    pub fn put_length_prefixed(&mut self, field: &[u8], max_bytes: usize) -> &mut ReplyWriter {
+        let field = &field[..field.len().min(max_bytes)];
+        self.put(&(field.len() as u16).to_le_bytes()).put(field)
     }
 
-    pub fn node(&mut self, node: NodeId) -> &mut Reply {
+    /// Writes a node id, an integer of 6 bytes.
+    pub fn put_node_id(&mut self, node: NodeId) -> &mut ReplyWriter {
         self.put(&node.0.to_le_bytes()[..6])
     }
 }
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -1,4 +1,9 @@
-//! Decodes a batch into calls on the directors that it concerns, and encodes what they decide.
+//! Decodes a batch into calls on its directors, and encodes their decisions.
+//!
+//! A batch can hold events for several directors, each identified by an instance number. A SELECT record sets
+//! the instance for the records after it. A reply has the batch's index (`u32`), its own length in bytes
+//! (`u32`), and the actions in the order in which they were decided, with a record before them that selects
+//! the instance.
 
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -10,345 +15,388 @@
 use ashglade::policy::{Director, Round};
 use ashglade::time::{Instant, Span};
 
-use crate::frames::{ENTRY, Fields, HEADER, Reply, Trouble};
-use crate::share::Share;
+use crate::frames::{BATCH_HEADER_BYTES, FieldReader, FrameError, NODE_LIST_ENTRY_BYTES, ReplyWriter};
+use crate::gossip::HealthGossip;
 
-/// Bytes of a message between directors, at most.
-const MOST_TOLD: usize = 256;
+/// Maximum length of a message between directors; longer ones are cut off.
+const MAX_MESSAGE_BYTES: usize = 256;
 
+/// Runs the directors of a simulation.
 #[derive(Default)]
-pub struct Host {
+pub struct DirectorHost {
     directors: BTreeMap<u16, Director>,
-    /// Directors tell each other what they find of nodes, where the site allows messages.
-    shares: bool,
-    sharing: BTreeMap<u16, Share>,
-    /// Lists of nodes by number, each as the entries' bytes; they outlive the batch.
-    pools: BTreeMap<u8, Vec<u8>>,
+    /// Whether directors gossip about the health of nodes, if their site allows messages.
+    gossip_enabled: bool,
+    gossip_states: BTreeMap<u16, HealthGossip>,
+    /// Node lists by number, as the bytes of their entries. They are kept from batch to batch.
+    node_lists: BTreeMap<u8, Vec<u8>>,
 }
 
-/// Where in the frame a director's news lies, with the list that it names as it stood there.
-struct News {
-    at: usize,
-    pool: Option<Vec<u8>>,
+/// An event for a director.
+struct Event {
+    /// Position in the frame, in bytes.
+    offset: usize,
+    /// The node list to which the event refers, if any. A copy, as a later record can replace the list.
+    node_list: Option<Vec<u8>>,
 }
 
-/// What has come in for one director, in order, or the start or end of one.
-enum Turn {
-    Opens { at: usize },
-    Ends,
-    News(Vec<News>),
+/// One step of a director's processing of a batch.
+enum Step {
+    /// Starts a director, with the settings of the record at `offset`.
+    Open { offset: usize },
+    /// Ends a director.
+    Close,
+    /// Passes events to a director, in their order of arrival.
+    Events(Vec<Event>),
 }
 
-impl Host {
-    pub fn new(shares: bool) -> Host {
-        Host { shares, ..Host::default() }
+impl DirectorHost {
+    pub fn new(gossip_enabled: bool) -> DirectorHost {
+        DirectorHost { gossip_enabled, ..DirectorHost::default() }
     }
 
-    /// Handles one batch; the reply holds the whole frame, or nothing of it after an error.
-    pub fn answer(&mut self, frame: &[u8], reply: &mut Vec<u8>) -> Result<(), Trouble> {
-        let mut head = Fields::new(frame, 0);
-        let index = head.u32()?;
-        let clock = head.f64()?;
+    /// Processes one batch and replaces `reply` by the whole reply. After an error, `reply` is unchanged.
+    pub fn process_batch(&mut self, frame: &[u8], reply: &mut Vec<u8>) -> Result<(), FrameError> {
+        let mut header = FieldReader::new(frame, 0);
+        let index = header.u32()?;
+        let clock = header.f64()?;
         if !clock.is_finite() {
-            return Err(Trouble::new(4, format!("the clock can't stand at {clock}")));
+            return Err(FrameError::new(4, format!("clock value {clock} is not finite")));
         }
         let now = Instant::from_ms(clock);
-        let records = Fields::new(frame, 16).u32()?;
-        let mut answers = Answers::default();
-        for (instance, turn) in self.sort(frame, records)? {
-            answers.instance = instance;
-            answers.selected = false;
-            match turn {
-                Turn::Opens { at } => {
-                    let mut fields = Fields::new(frame, at + 1);
+        let record_count = FieldReader::new(frame, 16).u32()?;
+        let mut actions = ActionWriter::default();
+        for (instance, step) in self.group_by_instance(frame, record_count)? {
+            actions.instance = instance;
+            actions.instance_selected = false;
+            match step {
+                Step::Open { offset } => {
+                    let mut fields = FieldReader::new(frame, offset + 1);
                     let seed = fields.u64()?;
-                    let from = fields.at() as u64;
-                    let site =
-                        ashglade_site::read(seed, fields.text()?).map_err(|what| Trouble::new(from, what))?;
-                    self.directors.insert(instance, Director::new(&site.headend, now));
-                    self.sharing.remove(&instance);
-                    if self.shares && site.may_tell && site.headend.director_count > 1 {
-                        self.sharing.insert(instance, Share::start(&site.headend, now));
+                    let settings_offset = fields.offset() as u64;
+                    let settings = ashglade_site::read(seed, fields.length_prefixed()?)
+                        .map_err(|error| FrameError::new(settings_offset, error))?;
+                    self.directors.insert(instance, Director::new(&settings.headend, now));
+                    self.gossip_states.remove(&instance);
+                    if self.gossip_enabled && settings.may_tell && settings.headend.director_count > 1 {
+                        self.gossip_states.insert(instance, HealthGossip::new(&settings.headend, now));
                     }
                 }
-                Turn::Ends => {
+                Step::Close => {
                     self.directors.remove(&instance);
-                    self.sharing.remove(&instance);
+                    self.gossip_states.remove(&instance);
                 }
-                Turn::News(news) => {
+                Step::Events(events) => {
                     let director = self.directors.get_mut(&instance);
-                    let at = news.first().map_or(HEADER, |n| n.at) as u64;
+                    let offset = events.first().map_or(BATCH_HEADER_BYTES, |event| event.offset) as u64;
                     let director = director.ok_or_else(|| {
-                        Trouble::new(at, format!("news for instance {instance}, which is not open"))
+                        FrameError::new(offset, format!("event for instance {instance}, which is not open"))
                     })?;
-                    let mut share = self.sharing.get_mut(&instance);
-                    if let Some(share) = &mut share {
-                        for news in &news {
-                            heard(share, frame, news.at, now)?;
+                    let mut gossip = self.gossip_states.get_mut(&instance);
+                    if let Some(gossip) = &mut gossip {
+                        for event in &events {
+                            apply_to_gossip(gossip, frame, event.offset, now)?;
                         }
-                        share.look(now);
+                        gossip.update_suspected_nodes(now);
                     }
-                    let told = |round: &mut Round| {
-                        if let Some(nodes) = share.as_mut().and_then(|share| share.news()) {
+                    let apply_events = |round: &mut Round| {
+                        if let Some(nodes) = gossip.as_mut().and_then(|gossip| gossip.take_update()) {
                             round.set_suspected_nodes(&nodes);
                         }
-                        news.iter().try_for_each(|n| tell(round, frame, n))
+                        events.iter().try_for_each(|event| apply_event(round, frame, event))
                     };
-                    match catch_unwind(AssertUnwindSafe(|| director.run_round(now, told, &mut answers))) {
-                        Ok(told) => told?,
-                        Err(cause) => {
-                            let cause = cause.downcast_ref::<&str>().copied();
-                            answers.failed(cause.unwrap_or("the decision code failed"));
+                    match catch_unwind(AssertUnwindSafe(|| {
+                        director.run_round(now, apply_events, &mut actions)
+                    })) {
+                        Ok(result) => result?,
+                        Err(panic) => {
+                            let message = panic.downcast_ref::<&str>().copied();
+                            actions.director_failed(message.unwrap_or("the decision code failed"));
                         }
                     }
-                    if let Some(share) = self.sharing.get_mut(&instance) {
-                        share.say(now, |to, message| answers.send_message(Some(to), message));
+                    if let Some(gossip) = self.gossip_states.get_mut(&instance) {
+                        gossip.send_pending(now, |to, message| actions.send_message(Some(to), message));
                     }
                 }
             }
         }
         reply.clear();
         reply.extend_from_slice(&index.to_le_bytes());
-        reply.extend_from_slice(&(8 + answers.reply.bytes.len() as u32).to_le_bytes());
-        reply.extend_from_slice(&answers.reply.bytes);
+        reply.extend_from_slice(&(8 + actions.reply.bytes.len() as u32).to_le_bytes());
+        reply.extend_from_slice(&actions.reply.bytes);
         Ok(())
     }
 
-    /// Sorts the records by director; each keeps its order of arrival.
-    fn sort(&mut self, frame: &[u8], records: u32) -> Result<Vec<(u16, Turn)>, Trouble> {
-        let mut fields = Fields::new(frame, HEADER);
-        let mut turns: Vec<(u16, Turn)> = Vec::new();
-        let mut latest: BTreeMap<u16, usize> = BTreeMap::new();
+    /// Groups the records by instance. The records of each instance keep their order of arrival.
+    fn group_by_instance(&mut self, frame: &[u8], record_count: u32) -> Result<Vec<(u16, Step)>, FrameError> {
+        let mut fields = FieldReader::new(frame, BATCH_HEADER_BYTES);
+        let mut steps: Vec<(u16, Step)> = Vec::new();
+        let mut last_step: BTreeMap<u16, usize> = BTreeMap::new();
         let mut instance = None;
-        for _ in 0..records {
-            let at = fields.at();
+        for _ in 0..record_count {
+            let offset = fields.offset();
             let code = fields.u8()?;
+            // SELECT
             if code == 8 {
                 instance = Some(fields.u16()?);
                 continue;
             }
+            // Declaration of a node list
             if code == 14 {
-                let table = fields.u8()?;
+                let list_number = fields.u8()?;
                 let count = fields.u32()? as usize;
-                let bytes =
-                    count.checked_mul(ENTRY).ok_or_else(|| fields.trouble("impossible count of entries"))?;
-                self.pools.insert(table, fields.take(bytes)?.to_vec());
+                let bytes = count
+                    .checked_mul(NODE_LIST_ENTRY_BYTES)
+                    .ok_or_else(|| fields.error("number of node list entries is out of range"))?;
+                self.node_lists.insert(list_number, fields.bytes(bytes)?.to_vec());
                 continue;
             }
-            let pool = skip(code, &mut fields, at)?.and_then(|table| self.pools.get(&table).cloned());
+            let node_list = skip_event(code, &mut fields, offset)?
+                .and_then(|list_number| self.node_lists.get(&list_number).cloned());
             let Some(instance) = instance else {
-                return Err(Trouble::new(at as u64, "an event before any SELECT"));
+                return Err(FrameError::new(offset as u64, "event before the first SELECT"));
             };
-            let turn = match code {
-                5 => Turn::Opens { at },
-                3 => Turn::Ends,
+            let step = match code {
+                5 => Step::Open { offset },
+                3 => Step::Close,
                 _ => {
-                    let news = News { at, pool };
-                    match latest.get(&instance).map(|&i| &mut turns[i].1) {
-                        Some(Turn::News(list)) => {
-                            list.push(news);
+                    let event = Event { offset, node_list };
+                    match last_step.get(&instance).map(|&i| &mut steps[i].1) {
+                        Some(Step::Events(events)) => {
+                            events.push(event);
                             continue;
                         }
-                        _ => Turn::News(vec![news]),
+                        _ => Step::Events(vec![event]),
                     }
                 }
             };
-            latest.insert(instance, turns.len());
-            turns.push((instance, turn));
+            last_step.insert(instance, steps.len());
+            steps.push((instance, step));
         }
         if !fields.is_empty() {
-            return Err(fields.trouble(format!("bytes left over after {records} records")));
+            return Err(fields.error(format!("unexpected bytes after {record_count} records")));
         }
-        Ok(turns)
+        Ok(steps)
     }
 }
 
-/// Passes over one event's fields; gives the number of the list that it names, if any.
-fn skip(code: u8, fields: &mut Fields, at: usize) -> Result<Option<u8>, Trouble> {
-    let fixed = match code {
+/// Skips the fields of an event. Returns the number of the node list to which it refers, if any.
+fn skip_event(code: u8, fields: &mut FieldReader, offset: usize) -> Result<Option<u8>, FrameError> {
+    let remaining_bytes = match code {
+        // Message from another director
         1 => {
-            fields.take(2)?;
-            let count = fields.u16()?;
-            count as usize
+            fields.bytes(2)?;
+            let length = fields.u16()?;
+            length as usize
         }
+        // Node list snapshot or update; kind 2 is the failure of the watch, which has no list
         2 => {
-            fields.take(8)?;
-            let table = fields.u8()?;
-            let failed = fields.u8()? == 2;
-            return Ok((!failed).then_some(table));
+            fields.bytes(8)?;
+            let list_number = fields.u8()?;
+            let watch_failed = fields.u8()? == 2;
+            return Ok((!watch_failed).then_some(list_number));
         }
+        // End of the instance
         3 => 0,
+        // End of a SETUP or of a session
         4 => {
-            fields.take(27)?;
+            fields.bytes(27)?;
             fields.u8()? as usize * 4
         }
+        // Start of the instance
         5 => {
-            fields.take(8)?;
+            fields.bytes(8)?;
             fields.u32()? as usize
         }
+        // Start of a session
         6 => 24,
+        // Timer
         7 => 4,
+        // Departure of a viewer
         9 => 8,
+        // Report on a session or its node
         10 => 21,
+        // Session request
         11 => 58,
+        // Result of a probe
         12 => {
-            fields.take(16)?;
+            fields.bytes(16)?;
             fields.u8()? as usize * 4
         }
+        // Handover of a session that is already playing
         13 => 64,
-        _ => return Err(Trouble::new(at as u64, format!("unknown event code {code}"))),
+        _ => return Err(FrameError::new(offset as u64, format!("unknown event code {code}"))),
     };
-    fields.take(fixed)?;
+    fields.bytes(remaining_bytes)?;
     Ok(None)
 }
 
-/// What of a piece of news concerns what is shared.
-fn heard(share: &mut Share, frame: &[u8], at: usize, now: Instant) -> Result<(), Trouble> {
-    let mut f = Fields::new(frame, at);
-    match f.u8()? {
+/// Applies an event to the gossip state if it concerns it: a message, or the start or end of a session.
+fn apply_to_gossip(
+    gossip: &mut HealthGossip,
+    frame: &[u8],
+    offset: usize,
+    now: Instant,
+) -> Result<(), FrameError> {
+    let mut fields = FieldReader::new(frame, offset);
+    match fields.u8()? {
         1 => {
-            let (author, length) = (f.u16()?, f.u16()?);
-            share.take(author, f.take(length.into())?, now);
+            let (sender, length) = (fields.u16()?, fields.u16()?);
+            gossip.receive(sender, fields.bytes(length.into())?, now);
         }
         4 => {
-            let (sess, _, node) = (SessionId(f.u64()?), f.u16()?, f.node()?);
-            if let Some(ending) = ending(f.u16()?) {
-                share.ended(sess, node, ending, now);
+            let (session, _, node) = (SessionId(fields.u64()?), fields.u16()?, fields.node_id()?);
+            if let Some(outcome) = attempt_outcome(fields.u16()?) {
+                gossip.attempt_ended(session, node, outcome, now);
             }
         }
         6 => {
-            let (sess, _) = (SessionId(f.u64()?), f.u16()?);
-            f.f64()?;
-            share.started(sess, f.node()?, now);
+            let (session, _) = (SessionId(fields.u64()?), fields.u16()?);
+            fields.f64()?;
+            gossip.session_started(session, fields.node_id()?, now);
         }
         _ => {}
     }
     Ok(())
 }
 
-/// Tells a director one piece of news.
-fn tell(round: &mut Round, frame: &[u8], news: &News) -> Result<(), Trouble> {
-    let mut f = Fields::new(frame, news.at);
-    match f.u8()? {
-        1 => {} // messages between directors: `heard`
+/// Applies an event to a director's round.
+fn apply_event(round: &mut Round, frame: &[u8], event: &Event) -> Result<(), FrameError> {
+    let mut fields = FieldReader::new(frame, event.offset);
+    match fields.u8()? {
+        1 => {} // Messages between directors are for `apply_to_gossip`.
         2 => {
-            f.take(9)?;
-            let at = f.at() as u64;
-            let kind = f.u8()?;
+            fields.bytes(9)?;
+            let kind_offset = fields.offset() as u64;
+            let kind = fields.u8()?;
             if kind == 2 {
                 round.list_watch_failed();
                 return Ok(());
             }
-            let Some(pool) = &news.pool else {
-                return Err(Trouble::new(news.at as u64, "a list that was never declared"));
+            let Some(node_list) = &event.node_list else {
+                return Err(FrameError::new(event.offset as u64, "node list was not declared"));
             };
             match kind {
                 0 | 4 => round.begin_list_snapshot(),
                 3 => round.begin_list_update(),
-                other => return Err(Trouble::new(at, format!("unknown kind of list {other}"))),
+                other => return Err(FrameError::new(kind_offset, format!("unknown node list kind {other}"))),
             }
-            let mut entries = Fields::new(pool, 0);
+            let mut entries = FieldReader::new(node_list, 0);
             while !entries.is_empty() {
-                entry(round, &mut entries).map_err(|what| Trouble::new(news.at as u64, what))?;
+                apply_list_entry(round, &mut entries)
+                    .map_err(|error| FrameError::new(event.offset as u64, error))?;
             }
             round.finish_list();
         }
         4 => {
-            let (sess, setup, node) = (SessionId(f.u64()?), SetupNumber(f.u16()?), f.node()?);
-            let at = f.at() as u64;
-            let ending = ending(f.u16()?).ok_or_else(|| Trouble::new(at, "unknown outcome"))?;
-            f.f64()?;
-            let complete = f.u8()? != 0;
-            round.load_reported(node, &gauges(&mut f)?);
-            round.attempt_ended(sess, setup, node, ending, complete);
+            let (session, setup, node) =
+                (SessionId(fields.u64()?), SetupNumber(fields.u16()?), fields.node_id()?);
+            let outcome_offset = fields.offset() as u64;
+            let outcome = attempt_outcome(fields.u16()?)
+                .ok_or_else(|| FrameError::new(outcome_offset, "unknown outcome"))?;
+            fields.f64()?;
+            let complete = fields.u8()? != 0;
+            round.load_reported(node, &load_metrics(&mut fields)?);
+            round.attempt_ended(session, setup, node, outcome, complete);
         }
         6 => {
-            let (sess, setup) = (SessionId(f.u64()?), SetupNumber(f.u16()?));
-            f.f64()?;
-            let node = f.node()?;
-            round.session_started(sess, setup, node);
+            let (session, setup) = (SessionId(fields.u64()?), SetupNumber(fields.u16()?));
+            fields.f64()?;
+            let node = fields.node_id()?;
+            round.session_started(session, setup, node);
         }
-        7 => round.timer_fired(TimerId(f.u32()?)),
-        9 => round.viewer_left(SessionId(f.u64()?)),
+        7 => round.timer_fired(TimerId(fields.u32()?)),
+        9 => round.viewer_left(SessionId(fields.u64()?)),
         10 => {
-            let (sess, _, node) = (SessionId(f.u64()?), f.u16()?, f.node()?);
-            let (what, level) = (f.u8()?, f64::from(f.f32()?));
-            match what {
-                1 => round.delivery_reported(node, level),
-                2 => round.session_rung_reported(sess, Rung(level as u8)),
-                3 => round.link_demand_reported(node, level),
-                4 => round.uplink_demand_reported(node, level),
+            let (session, _, node) = (SessionId(fields.u64()?), fields.u16()?, fields.node_id()?);
+            let (kind, value) = (fields.u8()?, f64::from(fields.f32()?));
+            match kind {
+                1 => round.delivery_reported(node, value),
+                2 => round.session_rung_reported(session, Rung(value as u8)),
+                3 => round.link_demand_reported(node, value),
+                4 => round.uplink_demand_reported(node, value),
                 _ => {}
             }
         }
         11 => {
-            let (sess, patience) = (SessionId(f.u64()?), Span::from_ms(f.f64()?));
-            f.u8()?;
-            let (top, home) = (f.f32()?, f.f32()?);
-            f.take(16)?;
-            let (group, _tenant, title) = (GroupId(f.u8()?.into()), f.u32()?, TitleId(f.u64()?));
-            let copies = f.f32()?;
-            round.session_requested(sess, viewing(group, title, patience, [top, home, copies]));
+            let (session, setup_timeout) = (SessionId(fields.u64()?), Span::from_ms(fields.f64()?));
+            fields.u8()?;
+            let (top_rung, first_cell) = (fields.f32()?, fields.f32()?);
+            fields.bytes(16)?;
+            let (group, _tenant, title) =
+                (GroupId(fields.u8()?.into()), fields.u32()?, TitleId(fields.u64()?));
+            let cell_count = fields.f32()?;
+            round.session_requested(
+                session,
+                session_request(group, title, setup_timeout, [top_rung, first_cell, cell_count]),
+            );
         }
         12 => {
-            let answered = f.u16()? == 0;
-            f.f64()?;
-            let node = f.node()?;
-            round.probe_finished(node, answered);
-            round.load_reported(node, &gauges(&mut f)?);
+            let succeeded = fields.u16()? == 0;
+            fields.f64()?;
+            let node = fields.node_id()?;
+            round.probe_finished(node, succeeded);
+            round.load_reported(node, &load_metrics(&mut fields)?);
         }
         13 => {
-            let (sess, group, _tenant) = (SessionId(f.u64()?), GroupId(f.u8()?.into()), f.u32()?);
-            f.u64()?;
-            let (title, patience) = (TitleId(f.u64()?), Span::from_ms(f.f64()?));
-            f.f64()?;
-            let (home, copies, top) = (f.f32()?, f.f32()?, f.f32()?);
-            f.u8()?;
-            let node = f.node()?;
-            round.session_handed_over(sess, viewing(group, title, patience, [top, home, copies]), node);
+            let (session, group, _tenant) =
+                (SessionId(fields.u64()?), GroupId(fields.u8()?.into()), fields.u32()?);
+            fields.u64()?;
+            let (title, setup_timeout) = (TitleId(fields.u64()?), Span::from_ms(fields.f64()?));
+            fields.f64()?;
+            let (first_cell, cell_count, top_rung) = (fields.f32()?, fields.f32()?, fields.f32()?);
+            fields.u8()?;
+            let node = fields.node_id()?;
+            round.session_handed_over(
+                session,
+                session_request(group, title, setup_timeout, [top_rung, first_cell, cell_count]),
+                node,
+            );
         }
         other => {
-            return Err(Trouble::new(news.at as u64, format!("unknown event code {other}")));
+            return Err(FrameError::new(event.offset as u64, format!("unknown event code {other}")));
         }
     }
     Ok(())
 }
 
-fn viewing(group: GroupId, title: TitleId, patience: Span, [top, home, copies]: [f32; 3]) -> SessionRequest {
-    let (top, home, copies) = (Rung(top as u8), CellId(home as u16), copies as u16);
-    SessionRequest {
-        group,
-        title,
-        top_rung: top,
-        first_cell: home,
-        cell_count: copies,
-        setup_timeout: patience,
-    }
+fn session_request(
+    group: GroupId,
+    title: TitleId,
+    setup_timeout: Span,
+    [top_rung, first_cell, cell_count]: [f32; 3],
+) -> SessionRequest {
+    let (top_rung, first_cell, cell_count) =
+        (Rung(top_rung as u8), CellId(first_cell as u16), cell_count as u16);
+    SessionRequest { group, title, top_rung, first_cell, cell_count, setup_timeout }
 }
 
-fn entry(round: &mut Round, f: &mut Fields) -> Result<(), String> {
-    let short = |_| "a list entry is cut short".to_string();
-    let node = f.node().map_err(short)?;
-    let (zone, model) = (ZoneId(f.u8().map_err(short)?), ModelId(f.u8().map_err(short)?));
-    let cell = CellId(f.u16().map_err(short)?);
-    let health = f.u8().map_err(short)?;
-    let weight = f64::from(f.f32().map_err(short)?);
-    let born = f.f64().map_err(short)?;
-    let started = (born > 0.0).then(|| Instant::from_ms(born));
+/// Reads one entry of a node list and applies it to a director's round.
+fn apply_list_entry(round: &mut Round, fields: &mut FieldReader) -> Result<(), String> {
+    let truncated = |_| "node list entry is truncated".to_string();
+    let node = fields.node_id().map_err(truncated)?;
+    let (zone, model) = (ZoneId(fields.u8().map_err(truncated)?), ModelId(fields.u8().map_err(truncated)?));
+    let cell = CellId(fields.u16().map_err(truncated)?);
+    let health = fields.u8().map_err(truncated)?;
+    let weight = f64::from(fields.f32().map_err(truncated)?);
+    let started_ms = fields.f64().map_err(truncated)?;
+    let started = (started_ms > 0.0).then(|| Instant::from_ms(started_ms));
     match health {
         0 => round.node_ready(node, NodeInfo { zone, model, cell, weight, started }),
         1 | 2 => round.node_draining(node),
-        other => return Err(format!("unknown health {other} in a list entry")),
+        other => return Err(format!("unknown health {other} in a node list entry")),
     }
     Ok(())
 }
 
-fn gauges(f: &mut Fields) -> Result<Vec<f64>, Trouble> {
-    let count = f.u8()?;
-    (0..count).map(|_| f.f32().map(f64::from)).collect()
+/// Reads the values of a load report, in the order of the metrics in the settings.
+fn load_metrics(fields: &mut FieldReader) -> Result<Vec<f64>, FrameError> {
+    let count = fields.u8()?;
+    (0..count).map(|_| fields.f32().map(f64::from)).collect()
 }
 
-fn ending(code: u16) -> Option<AttemptOutcome> {
+/// Returns the outcome with a code on the wire, or `None` if the code is unknown.
+fn attempt_outcome(code: u16) -> Option<AttemptOutcome> {
     Some(match code {
         0 => AttemptOutcome::Played,
         5 => AttemptOutcome::Fault,
@@ -362,80 +410,87 @@
     })
 }
 
-/// Encodes decisions as they are made.
+/// Encodes decisions as actions of a reply, in their order.
 #[derive(Default)]
-pub struct Answers {
-    pub reply: Reply,
+pub struct ActionWriter {
+    pub reply: ReplyWriter,
     instance: u16,
-    selected: bool,
+    /// Whether the record that selects the instance has been written.
+    instance_selected: bool,
 }
 
-impl Answers {
-    /// The decision code failed; the simulator ends the day with this text.
-    pub fn failed(&mut self, cause: &str) {
-        self.record(74).text(cause.as_bytes(), usize::from(u16::MAX));
+impl ActionWriter {
+    /// Reports that the decision code panicked. The simulator ends the run with this message.
+    pub fn director_failed(&mut self, message: &str) {
+        self.begin_action(74).put_length_prefixed(message.as_bytes(), usize::from(u16::MAX));
     }
 
-    fn record(&mut self, code: u8) -> &mut Reply {
-        if !self.selected {
-            self.selected = true;
+    /// Starts an action. Before the first one, a record that selects the instance is written.
+    fn begin_action(&mut self, code: u8) -> &mut ReplyWriter {
+        if !self.instance_selected {
+            self.instance_selected = true;
             self.reply.put(&[79]).put(&self.instance.to_le_bytes());
         }
         self.reply.put(&[code])
     }
 }
 
-impl DecisionSink for Answers {
-    fn send_setup(&mut self, sess: SessionId, node: NodeId, until: Instant) {
-        self.record(65).put(&sess.0.to_le_bytes()).node(node).put(&until.as_ms().to_le_bytes());
+impl DecisionSink for ActionWriter {
+    fn send_setup(&mut self, session: SessionId, node: NodeId, deadline: Instant) {
+        self.begin_action(65)
+            .put(&session.0.to_le_bytes())
+            .put_node_id(node)
+            .put(&deadline.as_ms().to_le_bytes());
     }
 
-    fn set_rung(&mut self, sess: SessionId, rung: Rung) {
-        self.record(77).put(&sess.0.to_le_bytes()).put(&[rung.0]);
+    fn set_rung(&mut self, session: SessionId, rung: Rung) {
+        self.begin_action(77).put(&session.0.to_le_bytes()).put(&[rung.0]);
     }
 
-    fn reply_busy(&mut self, sess: SessionId, retry_after: Option<Span>) {
-        let wait = retry_after.map_or(0.0, Span::as_ms);
-        self.record(66).put(&sess.0.to_le_bytes()).put(&wait.to_le_bytes());
+    fn reply_busy(&mut self, session: SessionId, retry_after: Option<Span>) {
+        let retry_after_ms = retry_after.map_or(0.0, Span::as_ms);
+        self.begin_action(66).put(&session.0.to_le_bytes()).put(&retry_after_ms.to_le_bytes());
     }
 
-    fn tear_down(&mut self, sess: SessionId) {
-        self.record(67).put(&sess.0.to_le_bytes());
+    fn tear_down(&mut self, session: SessionId) {
+        self.begin_action(67).put(&session.0.to_le_bytes());
     }
 
-    fn cancel_setup(&mut self, sess: SessionId, setup: SetupNumber) {
-        self.record(68).put(&sess.0.to_le_bytes()).put(&setup.0.to_le_bytes());
+    fn cancel_setup(&mut self, session: SessionId, setup: SetupNumber) {
+        self.begin_action(68).put(&session.0.to_le_bytes()).put(&setup.0.to_le_bytes());
     }
 
     fn probe_node(&mut self, node: NodeId) {
-        self.record(70).node(node);
+        self.begin_action(70).put_node_id(node);
     }
 
-    fn set_timer(&mut self, ticket: TimerId, after: Span) {
-        self.record(69).put(&ticket.0.to_le_bytes()).put(&after.as_ms().to_le_bytes());
+    fn set_timer(&mut self, timer: TimerId, delay: Span) {
+        self.begin_action(69).put(&timer.0.to_le_bytes()).put(&delay.as_ms().to_le_bytes());
     }
 
-    fn watch_node_list(&mut self, on: bool) {
-        self.record(75).put(&[u8::from(on)]);
+    fn watch_node_list(&mut self, subscribed: bool) {
+        self.begin_action(75).put(&[u8::from(subscribed)]);
     }
 
     fn fetch_node_list(&mut self) {
-        self.record(76);
+        self.begin_action(76);
     }
 
-    fn reconnect_viewer(&mut self, sess: SessionId) {
-        self.record(78).put(&sess.0.to_le_bytes());
+    fn reconnect_viewer(&mut self, session: SessionId) {
+        self.begin_action(78).put(&session.0.to_le_bytes());
     }
 
     fn close_idle_connections(&mut self, node: NodeId) {
-        self.record(71).node(node);
+        self.begin_action(71).put_node_id(node);
     }
 
     fn send_message(&mut self, director: Option<u16>, message: &[u8]) {
-        self.record(72).put(&director.unwrap_or(u16::MAX).to_le_bytes()).text(message, MOST_TOLD);
+        self.begin_action(72)
+            .put(&director.unwrap_or(u16::MAX).to_le_bytes())
+            .put_length_prefixed(message, MAX_MESSAGE_BYTES);
     }
 
     fn log(&mut self, line: &str) {
-        self.record(73).text(line.as_bytes(), usize::from(u16::MAX));
+        self.begin_action(73).put_length_prefixed(line.as_bytes(), usize::from(u16::MAX));
     }
 }
