--- a/crates/platform-director/src/bus.rs
+++ b/crates/platform-director/src/bus.rs
@@ -6,7 +6,7 @@
 
 use ashglade_platform::Event;
 use ashglade_platform::bus::Batch;
-use ashglade_site::Names;
+use ashglade_site::NameTables;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::Request;
@@ -34,7 +34,7 @@
 pub async fn follow(
     mut source: watch::Receiver<SocketAddr>,
     mut held: u64,
-    names: Names,
+    names: NameTables,
     events: mpsc::Sender<Event>,
 ) {
     let (mut connection, mut last) = (None, None);
@@ -104,7 +104,7 @@
         }
         let body = Limited::new(response.into_body(), MOST).collect().await?.to_bytes();
         let batch = serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_slice(&body))
-            .map_err(|error| ashglade_site::field(&error))?;
+            .map_err(|error| ashglade_site::describe_error(&error))?;
         *connection = Some(sender);
         Ok::<Batch, Trouble>(batch)
     };
--- a/crates/platform-director/src/lib.rs
+++ b/crates/platform-director/src/lib.rs
@@ -111,5 +111,5 @@
 }
 
 fn dial_timeout(config: &Config) -> Duration {
-    Duration::from_secs_f64((config.site.dial_timeout.as_ms() / 1e3).clamp(0.001, 60.0))
+    Duration::from_secs_f64((config.site.connect_timeout.as_ms() / 1e3).clamp(0.001, 60.0))
 }
--- a/crates/platform/src/ask.rs
+++ b/crates/platform/src/ask.rs
@@ -4,7 +4,7 @@
 use ashglade::ids::{CellId, GroupId, Rung, TitleId};
 use ashglade::time::Span;
 use ashglade_engine::ViewerRequest;
-use ashglade_site::{Site, place};
+use ashglade_site::{DirectorSettings, name_index};
 
 use crate::message::{Message, figure};
 
@@ -75,15 +75,14 @@
     extras.is_some_and(|extras| extras.is_ok_and(|extras| extras.at.is_some()))
 }
 
-pub fn read(message: &Message, site: &Site) -> Result<Ask, Trouble> {
+pub fn read(message: &Message, site: &DirectorSettings) -> Result<Ask, Trouble> {
     let opts = &message.opts;
     let class = opts.get("class").ok_or_else(|| wrong("class", "is missing"))?;
-    let group =
-        place(&site.names.groups, class).ok_or_else(|| wrong("class", format!("{class:?} is unknown")))?;
+    let group = name_index(&site.names.groups, class)
+        .ok_or_else(|| wrong("class", format!("{class:?} is unknown")))?;
     let tenant = match opts.get("tenant") {
-        Some(name) if !site.names.tenants.is_empty() => {
-            place(&site.names.tenants, name).ok_or_else(|| wrong("tenant", format!("{name:?} is unknown")))?
-        }
+        Some(name) if !site.names.tenants.is_empty() => name_index(&site.names.tenants, name)
+            .ok_or_else(|| wrong("tenant", format!("{name:?} is unknown")))?,
         _ => 0,
     };
     let extras = Extras::read(opts.get("extras").unwrap_or_default())?;
@@ -103,7 +102,7 @@
             Span::from_ms(left.ok_or_else(|| wrong("left", format!("{text:?} is not up to {most} ms")))?)
         }
     };
-    let cells = site.headend.cell_count;
+    let cells = site.director.cell_count;
     let description = message.description.clone().ok_or_else(|| wrong("blob", "is missing"))?;
     Ok(Ask {
         want: ViewerRequest {
--- a/crates/platform/src/board.rs
+++ b/crates/platform/src/board.rs
@@ -13,7 +13,7 @@
 use ashglade::interface::AttemptOutcome;
 use ashglade::time::{Instant, Span};
 use ashglade_engine::{Effect, Engine, EngineConfig, Input, SessionResponse, Tally};
-use ashglade_site::Site;
+use ashglade_site::DirectorSettings;
 use bytes::Bytes;
 use tracing::{debug, trace, warn};
 
@@ -167,7 +167,7 @@
 }
 
 pub struct Board {
-    pub(crate) site: Site,
+    pub(crate) site: DirectorSettings,
     start: EngineConfig,
     pub(crate) bounds: Bounds,
     engine: Option<Engine>,
@@ -200,9 +200,9 @@
         let bounds = Bounds::of(config.limits.memory_mb);
         let spare = config.limits.sockets.saturating_sub(OWN_DESCRIPTORS).max(2);
         let start = EngineConfig {
-            director: site.headend.clone(),
+            director: site.director.clone(),
             answer_margin: Span::from_ms(ANSWER_MARGIN_MS),
-            probe_timeout: site.dial_timeout,
+            probe_timeout: site.connect_timeout,
             max_sessions: bounds.sessions,
             admission: None,
         };
@@ -223,7 +223,7 @@
             peers: BTreeMap::new(),
             trunks: BTreeMap::new(),
             next_trunk: 0,
-            next_echo: site.headend.seed,
+            next_echo: site.director.seed,
             hung_up: BTreeMap::new(),
             given_up: VecDeque::new(),
             look_at: now,
--- a/crates/platform/src/bus.rs
+++ b/crates/platform/src/bus.rs
@@ -6,7 +6,7 @@
 use ashglade::ids::{CellId, ModelId, NodeId, ZoneId};
 use ashglade::interface::NodeInfo;
 use ashglade::time::Instant;
-use ashglade_site::{Names, place};
+use ashglade_site::{NameTables, name_index};
 use serde::{Deserialize, Deserializer};
 use tracing::warn;
 
@@ -113,10 +113,10 @@
 }
 
 impl Numbered {
-    pub fn news(self, names: &Names) -> News {
+    pub fn news(self, names: &NameTables) -> News {
         let topology = self.topology.unwrap_or(Topology { snapshot: false, endpoints: Vec::new() });
         // A zone or a kind that the settings don't name is none of those that they do.
-        let id = |names: &[String], name: &str| place(names, name).map_or(u8::MAX, |at| at as u8);
+        let id = |names: &[String], name: &str| name_index(names, name).map_or(u8::MAX, |at| at as u8);
         let entry = |e: Endpoint| Entry {
             node: id_of(&e.name),
             address: e.address,
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use ashglade_site::Site;
+use ashglade_site::DirectorSettings;
 use serde::Deserialize;
 
 use crate::bus::Batch;
@@ -14,7 +14,7 @@
     pub bus: SocketAddr,
     pub limits: Limits,
     pub known: Batch,
-    pub site: Site,
+    pub site: DirectorSettings,
     /// As they stood, so that a change is seen.
     settings: Box<str>,
 }
@@ -41,7 +41,8 @@
 impl Config {
     pub fn read(text: &str) -> Result<Config, String> {
         let json = &mut serde_json::Deserializer::from_str(text);
-        let raw: Raw = serde_path_to_error::deserialize(&mut *json).map_err(|e| ashglade_site::field(&e))?;
+        let raw: Raw =
+            serde_path_to_error::deserialize(&mut *json).map_err(|e| ashglade_site::describe_error(&e))?;
         json.end().map_err(|e| e.to_string())?;
         let seed = u64::from_str_radix(&raw.seed, 16)
             .map_err(|_| format!("seed: {:?} is not a number of up to 16 hex digits", raw.seed))?;
@@ -51,7 +52,7 @@
         if raw.limits.memory_mb <= 0.0 {
             return Err(format!("limits.memory_mb: {} leave no room to serve in", raw.limits.memory_mb));
         }
-        let site = ashglade_site::read(seed, raw.settings.get().as_bytes())?;
+        let site = ashglade_site::parse(seed, raw.settings.get().as_bytes())?;
         let settings = raw.settings.get().into();
         let Raw { name, listen, bus, limits, known, .. } = raw;
         Ok(Config { name, listen, bus, limits, known, site, settings })
--- a/crates/platform/src/peers.rs
+++ b/crates/platform/src/peers.rs
@@ -172,7 +172,7 @@
         (peer.heard, peer.never_up) = (now, 0);
         // A process that ended takes no connection for a while, and a machine that vanished had said nothing for long. But
         // a machine takes connections for a process that is being killed: only a word on this one will show that it went on.
-        line.resumes = peer.broke.take().is_some_and(|at| now - at <= self.site.dial_timeout);
+        line.resumes = peer.broke.take().is_some_and(|at| now - at <= self.site.connect_timeout);
         let pending = std::mem::take(&mut peer.pending);
         let (waiting, probes) = (std::mem::take(&mut peer.waiting), std::mem::take(&mut peer.probes));
         // One that failed its test is of no more use now that there is another.
@@ -584,7 +584,7 @@
     /// A connection that takes a further SETUP; where there is none, one is on its way if one may be.
     fn trunk(&mut self, now: Instant, node: NodeId) -> Option<Trunk> {
         let peer = self.peers.get(&node)?;
-        let streams = self.site.streams.unwrap_or(usize::MAX);
+        let streams = self.site.max_streams_per_connection.unwrap_or(usize::MAX);
         let on = |trunk: &&Trunk| self.trunks.get(trunk).is_some_and(|l| l.up && l.open.len() < streams);
         if let Some(&trunk) = peer.trunks.iter().rev().find(on) {
             return Some(trunk);
@@ -798,7 +798,7 @@
     let mut load = LoadReport::default();
     for (name, value) in text.split(';').filter_map(|pair| pair.split_once(':')) {
         let value = figure(value);
-        match ashglade_site::gauge(name) {
+        match ashglade_site::load_metric(name) {
             LoadMetric::Link => load.link = value,
             LoadMetric::Uplink => load.uplink = value,
             LoadMetric::Streams => load.streams = value,
--- a/crates/platform/src/same_tests.rs
+++ b/crates/platform/src/same_tests.rs
@@ -123,7 +123,7 @@
         wakes: Vec::new(),
         told: String::new(),
     };
-    let mut director = Director::new(&config.site.headend, now);
+    let mut director = Director::new(&config.site.director, now);
     let want = |patience: f64| SessionRequest {
         group: GroupId(0),
         title: TitleId(0x7f3a),
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -233,24 +233,24 @@
 
 /// The parsed settings.
 #[derive(Clone, Debug)]
-pub struct Site {
+pub struct DirectorSettings {
     /// Configuration of the director.
-    pub headend: DirectorConfig,
+    pub director: DirectorConfig,
     /// Names that the settings define.
-    pub names: Names,
+    pub names: NameTables,
     /// For each service group, the longest setup timeout of its viewers, if limited.
     pub setup_timeouts: Vec<Option<Span>>,
     /// Whether directors may send messages to each other.
-    pub may_tell: bool,
+    pub may_send_messages: bool,
     /// Maximum number of concurrent SETUPs on one connection, if limited.
-    pub streams: Option<usize>,
+    pub max_streams_per_connection: Option<usize>,
     /// The time after which an attempt to connect to a media node fails.
-    pub dial_timeout: Span,
+    pub connect_timeout: Span,
 }
 
 /// The names that the settings define. A numeric id is the index of the name in its list.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct NameTables {
     /// Service groups.
     pub groups: Vec<String>,
     /// Tenants; may be empty.
@@ -262,7 +262,7 @@
 }
 
 /// Formats a deserialization error as the path of the field and the cause.
-pub fn field(error: &serde_path_to_error::Error<serde_json::Error>) -> String {
+pub fn describe_error(error: &serde_path_to_error::Error<serde_json::Error>) -> String {
     match error.path().to_string().as_str() {
         "." => error.inner().to_string(),
         path => format!("{path}: {}", error.inner()),
@@ -270,7 +270,7 @@
 }
 
 /// Returns the index of a name in its list.
-pub fn place(names: &[String], name: &str) -> Option<usize> {
+pub fn name_index(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|known| known == name)
 }
 
@@ -281,25 +281,25 @@
 /// # Errors
 ///
 /// Returns a message that names the field, if one has an impossible value.
-pub fn read(seed: u64, text: &[u8]) -> Result<Site, String> {
+pub fn parse(seed: u64, text: &[u8]) -> Result<DirectorSettings, String> {
     let json = &mut serde_json::Deserializer::from_slice(text);
     let settings: SettingsObject =
-        serde_path_to_error::deserialize(json).map_err(|e| format!("settings: {}", field(&e)))?;
+        serde_path_to_error::deserialize(json).map_err(|e| format!("settings: {}", describe_error(&e)))?;
     validate(&settings).map_err(|error| format!("settings: {error}"))?;
     let limits = &settings.limits;
-    Ok(Site {
-        headend: director_config(seed, &settings),
+    Ok(DirectorSettings {
+        director: director_config(seed, &settings),
         setup_timeouts: settings
             .service_groups
             .iter()
             .map(|group| group.setup_timeout_ms.map(|ms| Span::from_ms(ms.get())))
             .collect(),
-        may_tell: limits.may_send_messages,
-        streams: limits.max_streams_per_connection.map(|max| max.get()),
-        dial_timeout: Span::from_ms(
+        may_send_messages: limits.may_send_messages,
+        max_streams_per_connection: limits.max_streams_per_connection.map(|max| max.get()),
+        connect_timeout: Span::from_ms(
             limits.connect_timeout_ms.map_or(DEFAULT_CONNECT_TIMEOUT_MS, Positive::get),
         ),
-        names: Names {
+        names: NameTables {
             groups: settings.service_groups.into_iter().map(|group| group.name).collect(),
             tenants: settings.tenants.into_iter().map(|tenant| tenant.name).collect(),
             zones: settings.zones,
@@ -401,7 +401,7 @@
         worst_group_weight: settings.objective.worst_group_weight.get(),
         full_link_demand: deployment.full_link_demand.get(),
         report_delay: Span::from_ms(deployment.report_delay_ms.get()),
-        load_metrics: settings.load_reports.metrics.iter().map(|name| gauge(name)).collect(),
+        load_metrics: settings.load_reports.metrics.iter().map(|name| load_metric(name)).collect(),
         probe_only: settings.load_reports.delivery == ReportDelivery::Pull,
         may_probe: limits.may_probe,
         probe_cost: settings.costs.probe.get(),
@@ -446,7 +446,7 @@
 }
 
 /// Returns the load metric that a field of a load report carries, from the field's name in the settings.
-pub fn gauge(name: &str) -> LoadMetric {
+pub fn load_metric(name: &str) -> LoadMetric {
     match name {
         "inflight" => LoadMetric::Streams,
         "util" | "x0" => LoadMetric::Link,
--- a/crates/site/tests/invalid_settings.rs
+++ b/crates/site/tests/invalid_settings.rs
@@ -13,10 +13,10 @@
 
 #[test]
 fn invalid_settings_are_rejected_with_the_field_name() {
-    let site = ashglade_site::read(7, SETTINGS.as_bytes()).unwrap();
-    let top_rungs: Vec<u8> = site.headend.groups.iter().map(|group| group.top_rung.0).collect();
+    let site = ashglade_site::parse(7, SETTINGS.as_bytes()).unwrap();
+    let top_rungs: Vec<u8> = site.director.groups.iter().map(|group| group.top_rung.0).collect();
     let mut results =
-        format!("unedited: top rungs {top_rungs:?}, load metrics {:?}\n", site.headend.load_metrics);
+        format!("unedited: top rungs {top_rungs:?}, load metrics {:?}\n", site.director.load_metrics);
     let edits = [
         ("\"balancers\": 2.0", "\"balancers\": 0"),
         ("\"balancers\": 2.0", "\"balancers\": 2.5"),
@@ -43,7 +43,7 @@
     for (original, replacement) in edits {
         let text = SETTINGS.replace(original, replacement);
         let result =
-            ashglade_site::read(7, text.as_bytes()).map_or_else(|error| error, |_| "accepted".into());
+            ashglade_site::parse(7, text.as_bytes()).map_or_else(|error| error, |_| "accepted".into());
         results += &format!("{replacement}: {}\n", result);
     }
     expect![[r#"
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -74,12 +74,15 @@
                     let mut fields = FieldReader::new(frame, offset + 1);
                     let seed = fields.u64()?;
                     let settings_offset = fields.offset() as u64;
-                    let settings = ashglade_site::read(seed, fields.length_prefixed()?)
+                    let settings = ashglade_site::parse(seed, fields.length_prefixed()?)
                         .map_err(|error| FrameError::new(settings_offset, error))?;
-                    self.directors.insert(instance, Director::new(&settings.headend, now));
+                    self.directors.insert(instance, Director::new(&settings.director, now));
                     self.gossip_states.remove(&instance);
-                    if self.gossip_enabled && settings.may_tell && settings.headend.director_count > 1 {
-                        self.gossip_states.insert(instance, HealthGossip::new(&settings.headend, now));
+                    if self.gossip_enabled
+                        && settings.may_send_messages
+                        && settings.director.director_count > 1
+                    {
+                        self.gossip_states.insert(instance, HealthGossip::new(&settings.director, now));
                     }
                 }
                 Step::Close => {
