--- a/crates/site/src/bounds.rs
+++ b/crates/site/src/bounds.rs
@@ -33,7 +33,7 @@
     Fraction: "between 0 and 1", |value| (0.0..=1.0).contains(&value);
 }
 
-/// Returns 0, the value of a field that is left out.
+/// The default of 0 is the value of a field that is left out.
 impl Default for NonNegative {
     fn default() -> NonNegative {
         NonNegative(0.0)
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -145,8 +145,7 @@
     connect_timeout_ms: Option<Positive>,
 }
 
-/// Rules of the media nodes and of the system around them: age of the node list, overload, slow start and the
-/// retry budget.
+/// Parameters of the age of the node list, overload, slow start and the retry budget.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Rules {
@@ -222,7 +221,7 @@
 #[derive(Clone, Copy, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum ReportDelivery {
-    /// With any response of a media node.
+    /// With responses of media nodes.
     Piggyback,
     /// With responses to probes only.
     Pull,
@@ -236,7 +235,7 @@
 pub struct DirectorSettings {
     /// Configuration of the director.
     pub director: DirectorConfig,
-    /// Names that the settings define.
+    /// The names behind numeric ids.
     pub names: NameTables,
     /// For each service group, the longest setup timeout of its viewers, if limited.
     pub setup_timeouts: Vec<Option<Span>>,
@@ -346,13 +345,15 @@
             return Err(format!("familyInfo.{name}: {count} values for {group_count} services"));
         }
     }
-    for (i, floor) in deployment.floor_rung_by_group.iter().enumerate() {
-        let top =
-            deployment.top_rung_by_group.get(i).map_or(rung_count - 1, |top| top.get().min(rung_count - 1));
+    for (index, floor) in deployment.floor_rung_by_group.iter().enumerate() {
+        let top = deployment
+            .top_rung_by_group
+            .get(index)
+            .map_or(rung_count - 1, |top| top.get().min(rung_count - 1));
         if floor.get() > top {
             let floor = floor.get();
             return Err(format!(
-                "familyInfo.floorByClass[{i}]: rung {floor} is above the highest rung, {top}"
+                "familyInfo.floorByClass[{index}]: rung {floor} is above the highest rung, {top}"
             ));
         }
     }
@@ -389,7 +390,7 @@
             .service_groups
             .iter()
             .enumerate()
-            .map(|(i, group)| service_group(i, group, deployment))
+            .map(|(index, group)| service_group(index, group, deployment))
             .collect(),
         ladder: rungs.map(|(rate, utility)| (rate.get(), utility.get())).collect(),
         max_streams: deployment.max_streams_by_model.iter().map(|max| max.get()).collect(),
@@ -418,10 +419,14 @@
     }
 }
 
-fn service_group(i: usize, group: &ServiceGroupSettings, deployment: &DeploymentSettings) -> ServiceGroup {
+fn service_group(
+    index: usize,
+    group: &ServiceGroupSettings,
+    deployment: &DeploymentSettings,
+) -> ServiceGroup {
     let highest = deployment.rung_rates.len() - 1;
     let rung = |list: &[BoundedInteger], default: usize| {
-        Rung(list.get(i).map_or(default, |rung| rung.get()).min(highest) as u8)
+        Rung(list.get(index).map_or(default, |rung| rung.get()).min(highest) as u8)
     };
     ServiceGroup {
         start_target: Span::from_ms(group.start_target_ms.get()),
@@ -437,11 +442,11 @@
             RetryScopeSetting::Cell => RetryScope::SameCell,
         },
         retry_window: Span::from_ms(group.retry_window_ms.get()),
-        live: deployment.live_by_group.get(i).copied().unwrap_or(false),
-        rate_scale: deployment.rate_scale_by_group.get(i).map_or(1.0, |scale| scale.get()),
+        live: deployment.live_by_group.get(index).copied().unwrap_or(false),
+        rate_scale: deployment.rate_scale_by_group.get(index).map_or(1.0, |scale| scale.get()),
         floor_rung: rung(&deployment.floor_rung_by_group, 0),
         top_rung: rung(&deployment.top_rung_by_group, highest),
-        seats: deployment.seats_by_group.get(i).map_or(0, |seats| seats.get()),
+        seats: deployment.seats_by_group.get(index).map_or(0, |seats| seats.get()),
     }
 }
 
--- a/crates/site/tests/invalid_settings.rs
+++ b/crates/site/tests/invalid_settings.rs
@@ -13,10 +13,10 @@
 
 #[test]
 fn invalid_settings_are_rejected_with_the_field_name() {
-    let site = ashglade_site::parse(7, SETTINGS.as_bytes()).unwrap();
-    let top_rungs: Vec<u8> = site.director.groups.iter().map(|group| group.top_rung.0).collect();
+    let settings = ashglade_site::parse(7, SETTINGS.as_bytes()).unwrap();
+    let top_rungs: Vec<u8> = settings.director.groups.iter().map(|group| group.top_rung.0).collect();
     let mut results =
-        format!("unedited: top rungs {top_rungs:?}, load metrics {:?}\n", site.director.load_metrics);
+        format!("unedited: top rungs {top_rungs:?}, load metrics {:?}\n", settings.director.load_metrics);
     let edits = [
         ("\"balancers\": 2.0", "\"balancers\": 0"),
         ("\"balancers\": 2.0", "\"balancers\": 2.5"),
--- a/crates/wirehost/src/frames.rs
+++ b/crates/wirehost/src/frames.rs
@@ -23,6 +23,7 @@
 }
 
 impl FrameError {
+    /// Creates an error at `offset` bytes from the start of the frame or of the input.
     pub fn new(offset: u64, message: impl Into<String>) -> FrameError {
         FrameError { offset, message: message.into() }
     }
@@ -63,7 +64,8 @@
     Ok(true)
 }
 
-/// Appends up to `max_bytes` bytes to the frame, fewer if the input ends before.
+/// Appends `max_bytes` bytes to the frame, fewer if the input ends before that. `start` is the frame's offset
+/// in the input.
 fn read_up_to(
     input: &mut impl Read,
     frame: &mut Vec<u8>,
@@ -95,6 +97,7 @@
         self.offset
     }
 
+    /// Returns whether all fields have been read.
     pub fn is_empty(&self) -> bool {
         self.offset >= self.bytes.len()
     }
@@ -164,6 +167,7 @@
 }
 
 impl ReplyWriter {
+    /// Writes a field that is already encoded.
     pub fn put(&mut self, field: &[u8]) -> &mut ReplyWriter {
         self.bytes.extend_from_slice(field);
         self
--- a/crates/wirehost/src/gossip.rs
+++ b/crates/wirehost/src/gossip.rs
@@ -31,6 +31,7 @@
 }
 
 impl HealthGossip {
+    /// Creates the gossip state of a director that has not heard of any node.
     pub fn new(director: &DirectorConfig, now: Instant) -> HealthGossip {
         let seconds = Span::from_secs;
         let config = FleetConfig {
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Processes a message from another director. Messages that can't be decoded are ignored.
+    /// Processes a message from another director. One that can't be decoded is ignored.
     pub fn receive(&mut self, sender: u16, message: &[u8], now: Instant) {
         if let Ok((message, [])) = postcard::take_from_bytes::<GossipMessage>(message) {
             let (to, config_digest) = (self.config.director_index as u16, self.config.digest());
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -51,6 +51,7 @@
 }
 
 impl DirectorHost {
+    /// Creates a host without directors.
     pub fn new(gossip_enabled: bool) -> DirectorHost {
         DirectorHost { gossip_enabled, ..DirectorHost::default() }
     }
@@ -130,7 +131,8 @@
         Ok(())
     }
 
-    /// Groups the records by instance. The records of each instance keep their order of arrival.
+    /// Groups the records into steps of their instances. The records of each instance keep their
+    /// order of arrival.
     fn group_by_instance(&mut self, frame: &[u8], record_count: u32) -> Result<Vec<(u16, Step)>, FrameError> {
         let mut fields = FieldReader::new(frame, BATCH_HEADER_BYTES);
         let mut steps: Vec<(u16, Step)> = Vec::new();
@@ -234,7 +236,7 @@
     Ok(None)
 }
 
-/// Applies an event to the gossip state if it concerns it: a message, or the start or end of a session.
+/// Applies an event to the gossip state if the event is a message, or the start or end of a session.
 fn apply_to_gossip(
     gossip: &mut HealthGossip,
     frame: &[u8],
