--- a/crates/director/src/orders.rs
+++ b/crates/director/src/orders.rs
@@ -2,11 +2,11 @@
 
 use std::net::SocketAddr;
 
-use ashglade::ids::{Node, Rung, Sess, SetupNo};
-use ashglade::interface::Ending;
+use ashglade::ids::{NodeId, Rung, SessionId, SetupNumber};
+use ashglade::interface::AttemptOutcome;
 use ashglade::time::Instant;
-use ashglade_engine::{Answer, Input, Tally};
-use ashglade_ledger::{Call, Held, Outcome};
+use ashglade_engine::{Input, SessionResponse, Tally};
+use ashglade_ledger::{HeldSession, Teardown, TeardownOutcome};
 use tokio::sync::{mpsc, oneshot};
 
 /// Inputs that wait for the engine at most; a full channel slows those who read sockets.
@@ -18,18 +18,18 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Order {
     Setup {
-        setup: SetupNo,
-        node: Node,
+        setup: SetupNumber,
+        node: NodeId,
         address: SocketAddr,
         http: Option<SocketAddr>,
         rung: Rung,
         decided: Instant,
     },
     Withdraw {
-        setup: SetupNo,
+        setup: SetupNumber,
         if_unsent: bool,
     },
-    Answer(Answer),
+    Answer(SessionResponse),
     Rung(Rung),
     Release,
 }
@@ -39,27 +39,27 @@
     /// A viewer asks for a session; its orders go to this channel from now on.
     Open {
         input: Input,
-        sess: Sess,
+        sess: SessionId,
         orders: mpsc::Sender<Order>,
     },
     /// The session's task needs no more orders.
-    Close(Sess),
+    Close(SessionId),
     Tally(oneshot::Sender<(Tally, usize)>),
     Page(Page),
 }
 
 /// What concerns the ledger of sessions at nodes.
 pub enum Page {
-    Hold(Sess, Held),
-    Ended(Sess),
-    Owe(Sess),
-    Told(Sess, Outcome),
+    Hold(SessionId, HeldSession),
+    Ended(SessionId),
+    Owe(SessionId),
+    Told(SessionId, TeardownOutcome),
 }
 
 /// What the engine's task wants done at a node, by whoever has the means.
 pub enum Errand {
     Probe { probe: u64, address: SocketAddr },
-    TearDown(Call),
+    TearDown(Teardown),
 }
 
 /// How other tasks reach the engine.
@@ -90,18 +90,24 @@
     }
 }
 
-impl ashglade_peer_transport::Engine for Core {
-    async fn tell(&self, input: Input) {
+impl ashglade_peer_transport::EngineSink for Core {
+    async fn send_input(&self, input: Input) {
         Core::tell(self, input).await;
     }
 }
 
 /// The session's task needs no more orders. A SETUP that was ordered and not yet begun never ran.
-pub async fn close(core: &Core, sess: Sess, orders: &mut mpsc::Receiver<Order>) {
+pub async fn close(core: &Core, sess: SessionId, orders: &mut mpsc::Receiver<Order>) {
     orders.close();
     while let Ok(order) = orders.try_recv() {
         if let Order::Setup { setup, .. } = order {
-            core.tell(Input::Ended { sess, setup, how: Ending::Unsent, load: None }).await;
+            core.tell(Input::SetupFailed {
+                session: sess,
+                setup,
+                outcome: AttemptOutcome::Unsent,
+                load: None,
+            })
+            .await;
         }
     }
     core.send(Command::Close(sess)).await;
--- a/crates/director/src/viewer.rs
+++ b/crates/director/src/viewer.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashglade::ids::{Rung, SetupNo};
-use ashglade::interface::Ending;
-use ashglade_engine::{Answer, Input};
+use ashglade::ids::{Rung, SetupNumber};
+use ashglade::interface::AttemptOutcome;
+use ashglade_engine::{Input, SessionResponse};
 use ashglade_rtsp::client::{self, Purpose};
 use ashglade_rtsp::codec::FRAME_HEADER;
 use ashglade_rtsp::presentation::Asked;
@@ -144,7 +144,7 @@
                 }
             }
             Event::Node(Some(Ok(packet))) => self.node_sent(packet).await?,
-            Event::Node(_) => self.node_lost(Ending::Lost).await?,
+            Event::Node(_) => self.node_lost(AttemptOutcome::Lost).await?,
             Event::Setup(outcome) => self.setup_ended(outcome).await,
             Event::Order(Some(order)) => self.order(order).await?,
             Event::Order(None) => return Err(Closed),
@@ -209,7 +209,7 @@
         };
         match sent {
             Ok(()) => Ok(()),
-            Err(_) => self.node_lost(Ending::Lost).await,
+            Err(_) => self.node_lost(AttemptOutcome::Lost).await,
         }
     }
 
@@ -228,7 +228,7 @@
         let element = |name: &str| asked.element(name).map(|value| value.to_string());
         let want = shared.want(title, group, top, element, || peer().unwrap_or_default());
         let (sender, orders) = mpsc::channel(ORDERS);
-        let input = Input::Asked { sess, want };
+        let input = Input::SessionRequested { session: sess, request: want };
         shared.core.send(Command::Open { input, sess, orders: sender }).await;
         self.live = Some(Box::new(Live::new(&shared, sess, asked, orders)));
         Ok(())
@@ -249,7 +249,15 @@
                         live.attempt = Some(Attempt::start(sess, setup, decided, send));
                     }
                     None => {
-                        shared.core.tell(Input::Ended { sess, setup, how: Ending::Unsent, load: None }).await;
+                        shared
+                            .core
+                            .tell(Input::SetupFailed {
+                                session: sess,
+                                setup,
+                                outcome: AttemptOutcome::Unsent,
+                                load: None,
+                            })
+                            .await;
                     }
                 }
                 Ok(())
@@ -262,20 +270,20 @@
                 }
                 Ok(())
             }
-            Order::Answer(Answer::Plays { .. }) => {
+            Order::Answer(SessionResponse::Plays { .. }) => {
                 let ssrc = live.ssrc(self.server.track());
                 info!(sess = sess.0, title = live.asked.title, rung = live.rung, "plays");
                 let name = format!("{:016x}", shared.random());
                 let response = self.server.granted(name, ssrc);
                 self.reply(response).await
             }
-            Order::Answer(Answer::Busy { retry_after, why }) => {
+            Order::Answer(SessionResponse::Busy { retry_after, why }) => {
                 let after = retry_after.map(|after| after.as_ms() / 1e3);
                 info!(sess = sess.0, title = live.asked.title, ?why, retry_after_s = after, "busy reply");
                 let response = self.server.turned_away(StatusCode::ServiceUnavailable, after);
                 self.turned_away(response).await
             }
-            Order::Answer(Answer::TornDown) => {
+            Order::Answer(SessionResponse::TornDown) => {
                 info!(sess = sess.0, "torn down");
                 let response = self.server.turned_away(StatusCode::BadGateway, None);
                 self.turned_away(response).await
@@ -322,7 +330,7 @@
         live.told = to;
         match node.switch(&shared, from, url).await {
             Ok(()) => Ok(()),
-            Err(_) => self.node_lost(Ending::Lost).await,
+            Err(_) => self.node_lost(AttemptOutcome::Lost).await,
         }
     }
 
@@ -333,7 +341,7 @@
         }
     }
 
-    async fn tell_outcome(&mut self, setup: SetupNo, outcome: Outcome<Box<NodeSide>>) {
+    async fn tell_outcome(&mut self, setup: SetupNumber, outcome: Outcome<Box<NodeSide>>) {
         let Some(live) = &mut self.live else { return };
         let (input, node) = attempt::told(live.sess, setup, outcome);
         live.node = node.or(live.node.take());
@@ -357,7 +365,7 @@
                 Some(Some(Ok(next))) => packet = next,
                 Some(_) => {
                     self.flush().await?;
-                    return self.node_lost(Ending::Lost).await;
+                    return self.node_lost(AttemptOutcome::Lost).await;
                 }
                 None => break,
             }
@@ -368,7 +376,7 @@
     /// Makes a frame the viewer's and puts it behind those that wait to be passed on. They lie side by side where the
     /// node sent them so, and are then joined without being copied.
     async fn frame(&mut self, mut bytes: BytesMut) -> Result<(), Closed> {
-        let now = self.shared.clock.micros();
+        let now = self.shared.clock.elapsed_micros();
         let Some(live) = &mut self.live else { return Ok(()) };
         let frame = live.frame(bytes[1], &mut bytes[FRAME_HEADER..], now);
         let channels = |track| self.server.channels(track);
@@ -390,7 +398,10 @@
         self.flush().await?;
         let Some(mut live) = self.live.take() else { return Ok(()) };
         info!(sess = live.sess.0, "played out");
-        self.shared.core.tell(Input::Over { sess: live.sess, how: Ending::Played }).await;
+        self.shared
+            .core
+            .tell(Input::SessionEnded { session: live.sess, outcome: AttemptOutcome::Played })
+            .await;
         if let Some(node) = live.node.take() {
             tokio::spawn(node.tear_down(self.shared.clone()));
         }
@@ -403,12 +414,12 @@
         let Some(node) = &mut live.node else { return Ok(()) };
         if let Some(load) = attempt::load(&response) {
             let node = node.node;
-            shared.core.tell(Input::Load { node, load }).await;
+            shared.core.tell(Input::NodeLoad { node, load }).await;
         }
         let reply = match node.client.answered(&response) {
             client::Answer::Done(Purpose::Setup { track }) => self.server.track_granted(live.ssrc(track)),
             client::Answer::Done(Purpose::Play) => {
-                live.plays(shared.clock.micros());
+                live.plays(shared.clock.elapsed_micros());
                 let range = messages::header(&response, &headers::RANGE);
                 let info = messages::header(&response, &headers::RTP_INFO).map(|info| live.rtp_info(info));
                 let reply = self.server.plays(range, info.as_deref());
@@ -418,7 +429,7 @@
             client::Answer::Done(Purpose::Pause) => self.server.paused(),
             client::Answer::Refused(Purpose::Switch { from }, _) => {
                 live.told = from;
-                shared.core.tell(Input::Stays { sess: live.sess, rung: Rung(from) }).await;
+                shared.core.tell(Input::RungUnchanged { session: live.sess, rung: Rung(from) }).await;
                 return Ok(());
             }
             client::Answer::Refused(Purpose::Setup { .. } | Purpose::Play | Purpose::Pause, status) => {
@@ -430,12 +441,12 @@
     }
 
     /// The node's connection is gone, or it doesn't answer: the session is over, the viewer's connection isn't.
-    async fn node_lost(&mut self, how: Ending) -> Result<(), Closed> {
+    async fn node_lost(&mut self, how: AttemptOutcome) -> Result<(), Closed> {
         let Some(live) = &mut self.live else { return Ok(()) };
         let Some(node) = live.node.take() else { return Ok(()) };
         info!(sess = live.sess.0, ?how, node = %node.address, "broken");
         node.lose(&self.shared).await;
-        self.shared.core.tell(Input::Over { sess: live.sess, how }).await;
+        self.shared.core.tell(Input::SessionEnded { session: live.sess, outcome: how }).await;
         let Some(live) = self.live.take() else { return Ok(()) };
         if self.server.waits() {
             let reply = self.server.failed(StatusCode::BadGateway);
@@ -467,19 +478,19 @@
         }
         let Some(live) = &mut self.live else { return Ok(()) };
         if live.node.as_ref().is_some_and(|node| node.overdue(&shared)) {
-            return self.node_lost(Ending::Silent).await;
+            return self.node_lost(AttemptOutcome::Silent).await;
         }
         if self.server.state() == State::Playing
             && let Some(share) =
-                live.share(shared.clock.micros(), |track| self.server.channels(track).is_some())
+                live.share(shared.clock.elapsed_micros(), |track| self.server.channels(track).is_some())
         {
-            shared.core.tell(Input::Flow { sess: live.sess, share }).await;
+            shared.core.tell(Input::SessionDelivery { session: live.sess, share }).await;
         }
         let Some(node) = &mut live.node else { return Ok(()) };
         if live.kept_alive.elapsed() >= front.keep_alive {
             live.kept_alive = Instant::now();
             if node.keep_alive(&shared).await.is_err() {
-                return self.node_lost(Ending::Lost).await;
+                return self.node_lost(AttemptOutcome::Lost).await;
             }
         }
         Ok(())
@@ -489,7 +500,7 @@
     async fn end_session(&mut self) {
         let Some(mut live) = self.live.take() else { return };
         let (core, sess) = (&self.shared.core, live.sess);
-        core.tell(Input::Left { sess }).await;
+        core.tell(Input::ViewerLeft { session: sess }).await;
         if let Some(attempt) = live.attempt.take() {
             let setup = attempt.setup;
             let (input, node) = attempt::told(sess, setup, attempt.withdraw().await);
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,184 +1,222 @@
-//! Which box list a director goes by. A list replaces the one before whole or not at all: one that is older than
-//! the one held, contradicts itself or names the same address twice changes nothing. What has been told as
-//! draining or gone stays so until a *newer* list says otherwise. Free of I/O.
+//! Node discovery: which list of media nodes a director uses. A new list replaces the previous one as a whole
+//! or is rejected as a whole: a list that is older than the current one, that contradicts it under the same
+//! generation, or that is inconsistent in itself (as with one address twice) changes nothing. A node reported
+//! as draining or gone stays so until a newer list says otherwise. The crate does no I/O.
 
-pub mod watch;
+pub mod sources;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hasher;
 use std::net::SocketAddr;
 
-use ashglade::ids::Node;
-use ashglade::interface::Place;
+use ashglade::ids::NodeId;
+use ashglade::interface::NodeInfo;
 use ashglade::time::Instant;
 use serde::{Deserialize, Serialize};
 
+/// State of a media node as reported by a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum NodeState {
+    /// Takes new sessions.
     Ready,
+    /// Takes no new sessions and finishes those it has.
     Draining,
+    /// Is no longer part of the fleet.
     Gone,
 }
 
-/// One media node as a list tells of it.
+/// One media node in a list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct NodeEntry {
+    /// Name of the node, unique within its list.
     pub name: String,
+    /// Address of the RTSP server.
     pub address: SocketAddr,
-    /// Where it serves HLS, if it does.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub http: Option<SocketAddr>,
-    /// Tells the node where directors reach it by different addresses; its address does if left out.
+    /// Address of the HLS server, if the node has one.
+    #[serde(rename = "http", default, skip_serializing_if = "Option::is_none")]
+    pub http_address: Option<SocketAddr>,
+    /// Identity of the node where directors reach it under different addresses; by default it is the address.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub id: Option<String>,
-    pub place: Place,
-    pub standing: Standing,
+    /// Zone, model, cell, weight and start time.
+    #[serde(rename = "place")]
+    pub info: NodeInfo,
+    /// Whether the node takes sessions.
+    #[serde(rename = "standing")]
+    pub state: NodeState,
 }
 
-impl Entry {
-    pub fn node(&self) -> Node {
-        self.id.as_ref().map_or_else(|| id_of(&self.address), |id| hash(id))
+impl NodeEntry {
+    /// Returns the id that is derived from the entry's `id` or, without one, from its address.
+    pub fn node_id(&self) -> NodeId {
+        self.id.as_ref().map_or_else(|| node_id(&self.address), |id| hash(id))
     }
 }
 
-/// A media node's id: the same at every director and after a restart, as directors that take turns at a cold
-/// node must agree on it. Keyed by nothing, so that it also is the same from one release to the next.
-pub fn id_of(address: &SocketAddr) -> Node {
+/// Returns the id of the node at an address. It is the same at all directors, which must agree on it when
+/// they take turns at a cold node, and after a restart. The hash has no key, so that the id is also the same
+/// in all releases.
+pub fn node_id(address: &SocketAddr) -> NodeId {
     hash(&address.to_string())
 }
 
-fn hash(text: &str) -> Node {
+fn hash(text: &str) -> NodeId {
     let mut hasher = siphasher::sip::SipHasher13::new();
     hasher.write(text.as_bytes());
-    Node(hasher.finish())
+    NodeId(hasher.finish())
 }
 
+/// A complete list of media nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct List {
-    /// Rises with each change of the list.
+pub struct NodeList {
+    /// Version of the list, which increases with each change.
     pub generation: u64,
-    pub entries: Vec<Entry>,
+    /// All nodes of the fleet; nodes without an entry are gone.
+    pub entries: Vec<NodeEntry>,
 }
 
-/// Why a list was left out; the one held stays in force.
+/// Why a list was rejected. The current list remains in force.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
-    #[error("generation {offered} is older than {held}, which is in force")]
-    Older { offered: u64, held: u64 },
-    #[error("generation {generation} was told before with other entries")]
-    Contradicts { generation: u64 },
+pub enum ListError {
+    /// The list is older than the current one.
+    #[error("generation {offered} is older than {current}, which is in force")]
+    StaleGeneration { offered: u64, current: u64 },
+    /// The list differs from the current one but has the same generation.
+    #[error("generation {generation} was already received with other entries")]
+    ConflictingGeneration { generation: u64 },
+    /// Two entries have one address.
     #[error("{first} and {second} have the same address, {address}")]
-    SameAddress { first: String, second: String, address: SocketAddr },
+    DuplicateAddress { first: String, second: String, address: SocketAddr },
+    /// Two entries have one name.
     #[error("two nodes are named {name}")]
-    SameName { name: String },
-    #[error("the ids of {first} and {second} are the same")]
-    SameId { first: String, second: String },
-    #[error("{name} has the weight {weight}; more than 0 and finite is wanted")]
-    Weight { name: String, weight: String },
-    #[error("the list names no node")]
+    DuplicateName { name: String },
+    /// Two entries result in one node id.
+    #[error("{first} and {second} have the same id")]
+    DuplicateId { first: String, second: String },
+    /// A weight is not finite or not positive.
+    #[error("the weight of {name} is {weight}, but must be finite and greater than 0")]
+    InvalidWeight { name: String, weight: String },
+    /// The list has no entries.
+    #[error("the list contains no nodes")]
     Empty,
 }
 
-/// What a list changed.
+/// Number of nodes that changed with a list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Changes {
-    pub new: usize,
-    pub started_again: usize,
+pub struct MembershipChanges {
+    /// Nodes that no earlier list contained.
+    pub added: usize,
+    /// Nodes with a later start time than before.
+    pub restarted: usize,
+    /// Nodes that are draining now and were not before.
     pub draining: usize,
-    pub gone: usize,
+    /// Nodes that are gone now and were not before.
+    pub removed: usize,
 }
 
+/// The current list, and the last known state of every node that any list has contained.
 #[derive(Debug, Default)]
-pub struct Roster {
-    held: Option<List>,
-    /// Every node ever named, with what was last told: connections to nodes that drain go on.
-    nodes: BTreeMap<Node, Entry>,
+pub struct Membership {
+    current: Option<NodeList>,
+    /// Includes nodes that are draining or gone, as connections to them are still in use.
+    nodes: BTreeMap<NodeId, NodeEntry>,
 }
 
-impl Roster {
-    pub fn list(&self) -> Option<&List> {
-        self.held.as_ref()
+impl Membership {
+    /// Returns the current list; none before the first one was accepted.
+    pub fn list(&self) -> Option<&NodeList> {
+        self.current.as_ref()
     }
 
-    pub fn entry(&self, node: Node) -> Option<&Entry> {
+    /// Returns the last known entry of a node, which may be draining or gone.
+    pub fn entry(&self, node: NodeId) -> Option<&NodeEntry> {
         self.nodes.get(&node)
     }
 
-    pub fn nodes(&self) -> impl Iterator<Item = (&Node, &Entry)> {
+    /// Returns the last known entries of all nodes, including those that are draining or gone.
+    pub fn nodes(&self) -> impl Iterator<Item = (&NodeId, &NodeEntry)> {
         self.nodes.iter()
     }
 
-    /// Takes the list if it may be taken; `Ok(None)` where it is the one held.
-    pub fn offer(&mut self, list: List) -> Result<Option<Changes>, Refusal> {
-        check(&list)?;
-        if let Some(held) = &self.held {
-            if list.generation < held.generation {
-                return Err(Refusal::Older { offered: list.generation, held: held.generation });
+    /// Replaces the current list and returns what changed, or `Ok(None)` if the list equals the current one.
+    /// On an error the current list remains.
+    pub fn update(&mut self, list: NodeList) -> Result<Option<MembershipChanges>, ListError> {
+        validate(&list)?;
+        if let Some(current) = &self.current {
+            if list.generation < current.generation {
+                return Err(ListError::StaleGeneration {
+                    offered: list.generation,
+                    current: current.generation,
+                });
             }
-            if list.generation == held.generation {
-                return if list == *held {
+            if list.generation == current.generation {
+                return if list == *current {
                     Ok(None)
                 } else {
-                    Err(Refusal::Contradicts { generation: list.generation })
+                    Err(ListError::ConflictingGeneration { generation: list.generation })
                 };
             }
         }
-        let mut changes = Changes::default();
-        let mut left: BTreeSet<Node> =
-            self.nodes.iter().filter(|(_, e)| e.standing != Standing::Gone).map(|(&node, _)| node).collect();
+        let mut changes = MembershipChanges::default();
+        let mut missing: BTreeSet<NodeId> =
+            self.nodes.iter().filter(|(_, e)| e.state != NodeState::Gone).map(|(&node, _)| node).collect();
         for entry in &list.entries {
-            let node = entry.node();
-            left.remove(&node);
-            let before = self.nodes.insert(node, entry.clone());
-            let was = before.as_ref().map(|b| b.standing);
-            changes.new += usize::from(before.is_none());
-            changes.draining +=
-                usize::from(entry.standing == Standing::Draining && was != Some(Standing::Draining));
-            changes.gone += usize::from(entry.standing == Standing::Gone && was != Some(Standing::Gone));
-            changes.started_again +=
-                usize::from(before.is_some_and(|b| started(&b.place) < started(&entry.place)));
+            let node = entry.node_id();
+            missing.remove(&node);
+            let previous = self.nodes.insert(node, entry.clone());
+            let previous_state = previous.as_ref().map(|previous| previous.state);
+            changes.added += usize::from(previous.is_none());
+            changes.draining += usize::from(
+                entry.state == NodeState::Draining && previous_state != Some(NodeState::Draining),
+            );
+            changes.removed +=
+                usize::from(entry.state == NodeState::Gone && previous_state != Some(NodeState::Gone));
+            changes.restarted += usize::from(
+                previous.is_some_and(|previous| started_at(&previous.info) < started_at(&entry.info)),
+            );
         }
-        // What a whole list leaves out is gone.
-        for node in left {
+        // Nodes that the list does not contain are gone.
+        for node in missing {
             if let Some(entry) = self.nodes.get_mut(&node) {
-                entry.standing = Standing::Gone;
-                changes.gone += 1;
+                entry.state = NodeState::Gone;
+                changes.removed += 1;
             }
         }
-        self.held = Some(list);
+        self.current = Some(list);
         Ok(Some(changes))
     }
 }
 
-fn started(place: &Place) -> Instant {
-    place.started.unwrap_or(Instant::LONG_AGO)
+fn started_at(info: &NodeInfo) -> Instant {
+    info.started.unwrap_or(Instant::LONG_AGO)
 }
 
-fn check(list: &List) -> Result<(), Refusal> {
+/// Checks that a list is consistent in itself.
+fn validate(list: &NodeList) -> Result<(), ListError> {
     if list.entries.is_empty() {
-        return Err(Refusal::Empty);
+        return Err(ListError::Empty);
     }
     let (mut names, mut addresses, mut ids) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
     for entry in &list.entries {
         let name = || entry.name.clone();
         if names.insert(&entry.name, ()).is_some() {
-            return Err(Refusal::SameName { name: name() });
+            return Err(ListError::DuplicateName { name: name() });
         }
         if let Some(first) = addresses.insert(entry.address, name()) {
-            return Err(Refusal::SameAddress { first, second: name(), address: entry.address });
+            return Err(ListError::DuplicateAddress { first, second: name(), address: entry.address });
         }
-        if let Some(first) = ids.insert(entry.node(), name()) {
-            return Err(Refusal::SameId { first, second: name() });
+        if let Some(first) = ids.insert(entry.node_id(), name()) {
+            return Err(ListError::DuplicateId { first, second: name() });
         }
-        let weight = entry.place.weight;
+        let weight = entry.info.weight;
         if !(weight.is_finite() && weight > 0.0) {
-            return Err(Refusal::Weight { name: name(), weight: weight.to_string() });
+            return Err(ListError::InvalidWeight { name: name(), weight: weight.to_string() });
         }
     }
     Ok(())
 }
 
 #[cfg(test)]
-mod tests;
+mod sources_tests;
 #[cfg(test)]
-mod watch_test;
+mod tests;
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashglade::ids::{Cell, Model, Zone};
-use ashglade::interface::Place;
-use ashglade_discovery::{Entry, Standing};
+use ashglade::ids::{CellId, ModelId, ZoneId};
+use ashglade::interface::NodeInfo;
+use ashglade_discovery::{NodeEntry, NodeState};
 use ashglade_judge::{self as judge, Plan, Traffic, Verdict, What};
 use ashglade_settings::Settings;
 use ashglade_standin::node::ColdPace;
@@ -84,12 +84,12 @@
     let seed = day.seed.unwrap_or(0);
     let fleet = Fleet::start(specs, uplinks, ladder, cold, seed, log.clone()).await;
     let fleet = fleet.map_err(|e| format!("the nodes' listeners: {e}"))?;
-    let entries = fleet.nodes.iter().zip(entries).map(|(node, entry)| Entry {
+    let entries = fleet.nodes.iter().zip(entries).map(|(node, entry)| NodeEntry {
         address: node.address,
-        http: Some(node.http),
+        http_address: Some(node.http),
         ..entry
     });
-    let entries: Vec<Entry> = entries.collect();
+    let entries: Vec<NodeEntry> = entries.collect();
 
     let trouble = |e: std::io::Error| format!("a relay: {e}");
     let net = if how.relayed {
@@ -113,7 +113,7 @@
             for (n, entry) in entries.iter_mut().enumerate() {
                 let path = net.path(Party::Director(*number), Party::Node(n), entry.address);
                 entry.address = path.await.map_err(trouble)?;
-                (entry.http, entry.id) = (None, Some(entry.name.clone()));
+                (entry.http_address, entry.id) = (None, Some(entry.name.clone()));
             }
         }
         of.push((folder.clone(), entries));
@@ -306,80 +306,88 @@
 /// What all nodes of a day go by: uplinks of racks, the ladder's rates, the pace of cold ones.
 pub fn terms(settings: &Settings) -> (Vec<f64>, Vec<f64>, ColdPace) {
     let head = &settings.headend;
-    let uplink = if head.uplink > 0.0 { head.uplink } else { f64::INFINITY };
+    let uplink = if head.uplink_kb_per_s > 0.0 { head.uplink_kb_per_s } else { f64::INFINITY };
     let cold = ColdPace {
-        from: head.cold_from,
-        warm_after: head.warm_after.as_ms() / 1e3,
-        multiple: head.fall_multiple,
-        span: head.fall_span.as_ms() / 1e3,
+        from: head.slow_start_initial_fraction,
+        warm_after: head.slow_start_duration.as_ms() / 1e3,
+        multiple: head.overload_multiple,
+        span: head.overload_window.as_ms() / 1e3,
     };
-    (vec![uplink; head.racks.into()], head.ladder.iter().map(|&(kb, _)| kb).collect(), cold)
+    (vec![uplink; head.rack_count.into()], head.ladder.iter().map(|&(kb, _)| kb).collect(), cold)
 }
 
 /// Nodes one after the other over zones and cells.
-pub fn nodes(day: &Day, settings: &Settings) -> (Vec<Spec>, Vec<Entry>) {
+pub fn nodes(day: &Day, settings: &Settings) -> (Vec<Spec>, Vec<NodeEntry>) {
     let head = &settings.headend;
     let (mut specs, mut entries) = (Vec::new(), Vec::new());
     for kind in &day.nodes {
         let model = settings.names.models.iter().position(|m| Some(m) == kind.model.as_ref()).unwrap_or(0);
         for _ in 0..kind.count.unwrap_or(0) {
             let i = specs.len();
-            let cell = (i % usize::from(head.cells)) as u16;
+            let cell = (i % usize::from(head.cell_count)) as u16;
             let weight = kind.weight.unwrap_or(1.0);
             let name = format!("node-{i}");
             specs.push(Spec {
                 name: name.clone(),
-                rack: usize::from(cell) % usize::from(head.racks),
-                places: head.places.get(model).map_or(1, |&p| p as usize),
-                link: weight * head.link_unit,
+                rack: usize::from(cell) % usize::from(head.rack_count),
+                places: head.max_streams.get(model).map_or(1, |&p| p as usize),
+                link: weight * head.link_kb_per_s_per_weight,
                 guard: kind.guard.unwrap_or(false),
             });
-            let zone = Zone((i % settings.names.zones.len()) as u8);
-            let place = Place { zone, model: Model(model as u8), cell: Cell(cell), weight, started: None };
+            let zone = ZoneId((i % settings.names.zones.len()) as u8);
+            let place =
+                NodeInfo { zone, model: ModelId(model as u8), cell: CellId(cell), weight, started: None };
             let address: SocketAddr = ([127, 0, 0, 1], 0).into();
-            entries.push(Entry { name, address, http: None, id: None, place, standing: Standing::Ready });
+            entries.push(NodeEntry {
+                name,
+                address,
+                http_address: None,
+                id: None,
+                info: place,
+                state: NodeState::Ready,
+            });
         }
     }
     (specs, entries)
 }
 
 fn plan(day: &Day, settings: &Settings) -> Plan {
-    use ashglade::interface::{Care, Reach};
+    use ashglade::interface::{RetrySafety, RetryScope};
     let head = &settings.headend;
     let groups = head.groups.iter().zip(&settings.group_names).map(|(group, name)| judge::Group {
         name: name.clone(),
         utility: group.utility,
         start_target: group.start_target.as_ms(),
-        care: match group.care {
-            Care::Safe => judge::Care::Safe,
-            Care::Dedup => judge::Care::Dedup,
-            Care::Fragile => judge::Care::Fragile,
+        care: match group.retry_safety {
+            RetrySafety::Safe => judge::Care::Safe,
+            RetrySafety::Dedup => judge::Care::Dedup,
+            RetrySafety::Fragile => judge::Care::Fragile,
         },
-        reach: match group.reach {
-            Reach::Anywhere => judge::Reach::Anywhere,
-            Reach::SameZone => judge::Reach::SameZone,
-            Reach::SameCell => judge::Reach::SameCell,
+        reach: match group.retry_scope {
+            RetryScope::Anywhere => judge::Reach::Anywhere,
+            RetryScope::SameZone => judge::Reach::SameZone,
+            RetryScope::SameCell => judge::Reach::SameCell,
         },
-        repeat_window: group.repeat_window.as_ms(),
-        floor: group.floor.0,
+        repeat_window: group.retry_window.as_ms(),
+        floor: group.floor_rung.0,
         seats: group.seats,
     });
     let (specs, entries) = nodes(day, settings);
     let nodes = specs.iter().zip(&entries).map(|(spec, entry)| judge::Node {
         name: spec.name.clone(),
         places: spec.places as f64,
-        zone: entry.place.zone.0,
-        cell: entry.place.cell.0,
+        zone: entry.info.zone.0,
+        cell: entry.info.cell.0,
     });
     Plan {
         groups: groups.collect(),
         nodes: nodes.collect(),
         drain_grace: day.drain_grace_ms.unwrap_or(0.0),
-        cold_from: head.cold_from,
-        warm_after: head.warm_after.as_ms(),
-        fall_multiple: head.fall_multiple,
-        fall_span: head.fall_span.as_ms(),
-        ration: head.ration.map(|r| (r.free, r.per_session, r.span.as_ms())),
+        cold_from: head.slow_start_initial_fraction,
+        warm_after: head.slow_start_duration.as_ms(),
+        fall_multiple: head.overload_multiple,
+        fall_span: head.overload_window.as_ms(),
+        ration: head.retry_budget.map(|r| (r.base_retries, r.retries_per_session, r.window.as_ms())),
         slack: day.slack_ms.unwrap_or(60.0),
         shared: shared(settings),
     }
@@ -387,21 +395,21 @@
 
 /// What directors share, for the judge.
 fn shared(settings: &Settings) -> Option<judge::Shared> {
-    let terms = ashglade_peer_transport::terms(settings)?;
-    let council = |home| terms.council(home).into_iter().map(|director| director as u16).collect();
+    let terms = ashglade_peer_transport::fleet_config(settings)?;
+    let council = |home| terms.voters(home).into_iter().map(|director| director as u16).collect();
     let repeats = settings.talk.as_ref()?.share.as_ref()?.repeats;
     Some(judge::Shared {
         lease: terms.lease.as_ms(),
-        drift: terms.drift,
-        rest: terms.rest.as_ms(),
-        under_way: ashglade_peer_transport::under_way(settings).as_ms(),
+        drift: terms.max_clock_drift,
+        rest: terms.guard_interval.as_ms(),
+        under_way: ashglade_peer_transport::max_send_delay(settings).as_ms(),
         stalled: 0.0,
-        councils: (0..terms.directors()).map(council).collect(),
+        councils: (0..terms.director_count()).map(council).collect(),
         repeats: repeats.map(|repeats| judge::Repeats {
             at_node: repeats.at_node,
             kept: repeats.kept,
             span: repeats.span.as_ms(),
-            pool: ashglade_peer_transport::REPEATS as u8,
+            pool: ashglade_peer_transport::RETRY_POOL as u8,
         }),
     })
 }
--- a/crates/platform/src/ask.rs
+++ b/crates/platform/src/ask.rs
@@ -1,10 +1,10 @@
 //! A viewer's SETUP request, parsed into the engine's terms. Every field is checked against the settings: an
 //! invalid request is refused and reaches no node.
 
-use ashglade::ids::{Cell, Group, Rung, Title};
+use ashglade::ids::{CellId, GroupId, Rung, TitleId};
 use ashglade::time::Span;
-use ashglade_engine::Want;
-use ashglade_site::{Site, place};
+use ashglade_engine::ViewerRequest;
+use ashglade_site::{DirectorSettings, name_index};
 
 use crate::message::{Message, parse_finite};
 
@@ -12,7 +12,7 @@
 #[derive(Debug, PartialEq)]
 pub struct SetupRequest {
     /// The request in the engine's terms.
-    pub want: Want,
+    pub want: ViewerRequest,
     /// Name of the service group, forwarded to the node.
     pub class: String,
     /// Title in hex digits, forwarded to the node.
@@ -86,13 +86,13 @@
 }
 
 /// Parses a SETUP request and checks it against the settings.
-pub fn parse(message: &Message, site: &Site) -> Result<SetupRequest, RequestError> {
+pub fn parse(message: &Message, site: &DirectorSettings) -> Result<SetupRequest, RequestError> {
     let opts = &message.opts;
     let class = opts.get("class").ok_or_else(|| invalid("class", "is missing"))?;
-    let group =
-        place(&site.names.groups, class).ok_or_else(|| invalid("class", format!("{class:?} is unknown")))?;
+    let group = name_index(&site.names.groups, class)
+        .ok_or_else(|| invalid("class", format!("{class:?} is unknown")))?;
     let tenant = match opts.get("tenant") {
-        Some(name) if !site.names.tenants.is_empty() => place(&site.names.tenants, name)
+        Some(name) if !site.names.tenants.is_empty() => name_index(&site.names.tenants, name)
             .ok_or_else(|| invalid("tenant", format!("{name:?} is unknown")))?,
         _ => 0,
     };
@@ -117,15 +117,15 @@
             )
         }
     };
-    let cells = site.headend.cells;
+    let cells = site.director.cell_count;
     let description = message.description.clone().ok_or_else(|| invalid("blob", "is missing"))?;
     Ok(SetupRequest {
-        want: Want {
-            group: Group(group),
-            title: Title(title),
-            top: Rung(parse_integer("top", extras.top, 0, u16::from(u8::MAX))? as u8),
-            home: Cell(parse_integer("home", extras.home, 0, cells.saturating_sub(1))?),
-            copies: parse_integer("copies", extras.copies, 1, cells)?,
+        want: ViewerRequest {
+            group: GroupId(group),
+            title: TitleId(title),
+            top_rung: Rung(parse_integer("top", extras.top, 0, u16::from(u8::MAX))? as u8),
+            first_cell: CellId(parse_integer("home", extras.home, 0, cells.saturating_sub(1))?),
+            cell_count: parse_integer("copies", extras.copies, 1, cells)?,
             setup_timeout,
             tenant,
             client: extras.viewer.and_then(|v| u64::from_str_radix(v, 16).ok()).unwrap_or(0),
--- a/crates/platform/src/bus.rs
+++ b/crates/platform/src/bus.rs
@@ -3,19 +3,19 @@
 use std::hash::Hasher;
 use std::net::SocketAddr;
 
-use ashglade::ids::{Cell, Model, Node, Zone};
-use ashglade::interface::Place;
+use ashglade::ids::{CellId, ModelId, NodeId, ZoneId};
+use ashglade::interface::NodeInfo;
 use ashglade::time::Instant;
-use ashglade_site::{Names, place};
+use ashglade_site::{NameTables, name_index};
 use serde::{Deserialize, Deserializer};
 use tracing::warn;
 
 /// Returns the id of a media node: a hash of its name. It is the same at every director and after restarts,
 /// and a node that takes over the address of another has an id of its own.
-pub fn node_id(name: &str) -> Node {
+pub fn node_id(name: &str) -> NodeId {
     let mut hasher = siphasher::sip::SipHasher13::new();
     hasher.write(name.as_bytes());
-    Node(hasher.finish())
+    NodeId(hasher.finish())
 }
 
 /// Reply to a read of the event bus. The configuration holds one too, with the nodes known at start.
@@ -92,11 +92,11 @@
     /// Name of the node.
     pub name: String,
     /// Id derived from the name.
-    pub node: Node,
+    pub node: NodeId,
     /// Address on which the node accepts connections, if reported.
     pub address: Option<SocketAddr>,
     /// Location, model, weight and start time.
-    pub place: Place,
+    pub place: NodeInfo,
     /// The node is up and has an address: it accepts new sessions.
     pub ready: bool,
     /// The node has been removed from the fleet.
@@ -130,17 +130,17 @@
 
 impl BusEvent {
     /// Converts the event. Names of zones and models become their positions in the settings' lists, `names`.
-    pub fn news(self, names: &Names) -> DiscoveryUpdate {
+    pub fn news(self, names: &NameTables) -> DiscoveryUpdate {
         let topology = self.topology.unwrap_or(Topology { snapshot: false, endpoints: Vec::new() });
         // A zone or model that the settings don't name gets an id that differs from all of theirs.
-        let id = |names: &[String], name: &str| place(names, name).map_or(u8::MAX, |index| index as u8);
+        let id = |names: &[String], name: &str| name_index(names, name).map_or(u8::MAX, |index| index as u8);
         let endpoint_update = |e: Endpoint| EndpointUpdate {
             node: node_id(&e.name),
             address: e.address,
-            place: Place {
-                zone: Zone(id(&names.zones, &e.zone)),
-                model: Model(id(&names.models, &e.model)),
-                cell: Cell(e.group),
+            place: NodeInfo {
+                zone: ZoneId(id(&names.zones, &e.zone)),
+                model: ModelId(id(&names.models, &e.model)),
+                cell: CellId(e.group),
                 weight: e.weight,
                 started: (e.since_ms > 0.0).then(|| Instant::from_ms(e.since_ms)),
             },
--- a/crates/platform/src/causes.rs
+++ b/crates/platform/src/causes.rs
@@ -1,9 +1,9 @@
 //! Cause numbers of release messages: one mapping for each direction and situation. Which [`AttemptOutcome`]
 //! a node's cause stands for is decided here and nowhere else.
 
-use ashglade::interface::Ending;
+use ashglade::interface::AttemptOutcome;
 
-use ashglade_engine::{Answer, Why};
+use ashglade_engine::{BusyReason, SessionResponse};
 
 /// The SETUP was cancelled, or the session ended normally.
 pub const NORMAL_RELEASE: u16 = 16;
@@ -17,36 +17,36 @@
 pub const INVALID_REQUEST: u16 = 100;
 
 /// Outcome of a SETUP that a node answered with a release of this cause.
-pub fn setup_outcome(cause: u16) -> Ending {
+pub fn setup_outcome(cause: u16) -> AttemptOutcome {
     match cause {
-        34 => Ending::Full,
-        102 => Ending::Unsent,
-        47 => Ending::Fault,
-        _ => Ending::Lost,
+        34 => AttemptOutcome::Full,
+        102 => AttemptOutcome::Unsent,
+        47 => AttemptOutcome::Fault,
+        _ => AttemptOutcome::Lost,
     }
 }
 
 /// Outcome of a playing session that its node released with this cause, and whether the viewer must be sent a
 /// release.
-pub fn session_outcome(cause: u16) -> (Ending, bool) {
+pub fn session_outcome(cause: u16) -> (AttemptOutcome, bool) {
     match cause {
-        16 => (Ending::Played, true),
-        31 => (Ending::Cancelled, false),
-        _ => (Ending::Lost, true),
+        16 => (AttemptOutcome::Played, true),
+        31 => (AttemptOutcome::Cancelled, false),
+        _ => (AttemptOutcome::Lost, true),
     }
 }
 
 /// Cause of the release that the viewer gets in reply to its SETUP.
-pub fn answer_cause(answer: &Answer) -> u16 {
+pub fn answer_cause(answer: &SessionResponse) -> u16 {
     match answer {
-        Answer::Plays { .. } => NORMAL_RELEASE,
-        Answer::Busy { why: Why::NoRoom, .. } => NO_CAPACITY,
-        Answer::Busy { .. } => CONGESTED,
-        Answer::TornDown => INTERRUPTED,
+        SessionResponse::Plays { .. } => NORMAL_RELEASE,
+        SessionResponse::Busy { why: BusyReason::NoRoom, .. } => NO_CAPACITY,
+        SessionResponse::Busy { .. } => CONGESTED,
+        SessionResponse::TornDown => INTERRUPTED,
     }
 }
 
 /// Cause of the release that the viewer gets when its playing session has ended.
-pub fn release_cause(outcome: Ending) -> u16 {
-    if outcome == Ending::Played { NORMAL_RELEASE } else { INTERRUPTED }
+pub fn release_cause(outcome: AttemptOutcome) -> u16 {
+    if outcome == AttemptOutcome::Played { NORMAL_RELEASE } else { INTERRUPTED }
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use ashglade_site::Site;
+use ashglade_site::DirectorSettings;
 use serde::Deserialize;
 
 use crate::bus::Batch;
@@ -21,7 +21,7 @@
     /// Events with the media nodes that are known at start.
     pub known: Batch,
     /// The settings, in parsed form.
-    pub site: Site,
+    pub site: DirectorSettings,
     /// Text of the settings, kept to detect changes.
     settings: Box<str>,
 }
@@ -55,7 +55,7 @@
     pub fn read(text: &str) -> Result<Config, String> {
         let json = &mut serde_json::Deserializer::from_str(text);
         let raw: RawConfig =
-            serde_path_to_error::deserialize(&mut *json).map_err(|e| ashglade_site::field(&e))?;
+            serde_path_to_error::deserialize(&mut *json).map_err(|e| ashglade_site::describe_error(&e))?;
         json.end().map_err(|e| e.to_string())?;
         let seed = u64::from_str_radix(&raw.seed, 16)
             .map_err(|_| format!("seed: {:?} is not a number of up to 16 hex digits", raw.seed))?;
@@ -65,7 +65,7 @@
         if raw.limits.memory_mb <= 0.0 {
             return Err(format!("limits.memory_mb: {} is not above 0", raw.limits.memory_mb));
         }
-        let site = ashglade_site::read(seed, raw.settings.get().as_bytes())?;
+        let site = ashglade_site::parse(seed, raw.settings.get().as_bytes())?;
         let settings = raw.settings.get().into();
         let RawConfig { name, listen, bus, limits, known_nodes: known, .. } = raw;
         Ok(Config { name, listen, bus, limits, known, site, settings })
--- a/crates/platform/src/equivalence_tests.rs
+++ b/crates/platform/src/equivalence_tests.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use ashglade::ids::{Cell, Group, Node, Rung, Sess, SetupNo, Ticket, Title};
-use ashglade::interface::{Ending, Viewing, Writer};
+use ashglade::ids::{CellId, GroupId, NodeId, Rung, SessionId, SetupNumber, TimerId, TitleId};
+use ashglade::interface::{AttemptOutcome, DecisionSink, SessionRequest};
 use ashglade::policy::{Director, Round};
 use ashglade::time::{Instant, Span};
 use expect_test::expect;
@@ -21,15 +21,15 @@
 /// Calls the policy module directly. Records its decisions in the format of [`decisions`], and its timers.
 struct DirectHost {
     now: Instant,
-    names: BTreeMap<Node, &'static str>,
-    playing: Vec<Sess>,
-    rungs: BTreeMap<Sess, Rung>,
+    names: BTreeMap<NodeId, &'static str>,
+    playing: Vec<SessionId>,
+    rungs: BTreeMap<SessionId, Rung>,
     timers: Vec<Instant>,
     trace: String,
 }
 
-impl Writer for DirectHost {
-    fn setup(&mut self, session: Sess, node: Node, deadline: Instant) {
+impl DecisionSink for DirectHost {
+    fn send_setup(&mut self, session: SessionId, node: NodeId, deadline: Instant) {
         // The module sets a rung only when it changes, while each SETUP carries one.
         let rung = self.rungs.get(&session).map_or(0, |rung| rung.0);
         let _ = writeln!(self.trace, "{} starts at rung {rung}", session.0);
@@ -41,29 +41,29 @@
             (deadline - self.now).as_ms()
         );
     }
-    fn rung(&mut self, session: Sess, rung: Rung) {
+    fn set_rung(&mut self, session: SessionId, rung: Rung) {
         self.rungs.insert(session, rung);
         if self.playing.contains(&session) {
             let _ = writeln!(self.trace, "{} plays at rung {}", session.0, rung.0);
         }
     }
-    fn busy(&mut self, session: Sess, _: Option<Span>) {
+    fn reply_busy(&mut self, session: SessionId, _: Option<Span>) {
         let _ = writeln!(self.trace, "{} busy", session.0);
     }
-    fn tear_down(&mut self, session: Sess) {
+    fn tear_down(&mut self, session: SessionId) {
         let _ = writeln!(self.trace, "{} torn down", session.0);
     }
-    fn cancel(&mut self, _: Sess, _: SetupNo) {}
-    fn probe(&mut self, _: Node) {}
-    fn wake(&mut self, _: Ticket, after: Span) {
+    fn cancel_setup(&mut self, _: SessionId, _: SetupNumber) {}
+    fn probe_node(&mut self, _: NodeId) {}
+    fn set_timer(&mut self, _: TimerId, after: Span) {
         self.timers.push(self.now + after);
     }
-    fn follow_list(&mut self, _: bool) {}
+    fn watch_node_list(&mut self, _: bool) {}
 }
 
 impl DirectHost {
     fn round(&mut self, director: &mut Director, inputs: impl FnOnce(&mut Round)) {
-        director.round(self.now, inputs, self);
+        director.run_round(self.now, inputs, self);
     }
 
     fn advance(&mut self, director: &mut Director, ms: f64) {
@@ -71,7 +71,7 @@
         while let Some(due) = self.timers.iter().copied().min().filter(|&due| due <= until) {
             self.timers.retain(|&at| at != due);
             self.now = due;
-            self.round(director, |round| round.woke(Ticket(0)));
+            self.round(director, |round| round.timer_fired(TimerId(0)));
         }
         self.now = until;
     }
@@ -136,45 +136,49 @@
     let mut host = DirectHost {
         now,
         names,
-        playing: vec![Sess(0xa0)],
+        playing: vec![SessionId(0xa0)],
         rungs: BTreeMap::new(),
         timers: Vec::new(),
         trace: String::new(),
     };
-    let mut director = Director::start(&config.site.headend, now);
-    let request = |timeout_ms: f64| Viewing {
-        group: Group(0),
-        title: Title(0x7f3a),
-        top: Rung(2),
-        home: Cell(0),
-        copies: 3,
-        patience: Span::from_ms(timeout_ms),
+    let mut director = Director::new(&config.site.director, now);
+    let request = |timeout_ms: f64| SessionRequest {
+        group: GroupId(0),
+        title: TitleId(0x7f3a),
+        top_rung: Rung(2),
+        first_cell: CellId(0),
+        cell_count: 3,
+        setup_timeout: Span::from_ms(timeout_ms),
     };
     host.round(&mut director, |round| {
-        round.list_whole();
+        round.begin_list_snapshot();
         for event in config.known.clone().after(0) {
             event.news(&config.site.names).nodes.iter().for_each(|e| round.node_ready(e.node, e.place));
         }
-        round.list_done();
-        round.under_way(Sess(0xa0), request(0.0), a);
+        round.finish_list();
+        round.session_handed_over(SessionId(0xa0), request(0.0), a);
     });
     host.advance(&mut director, 1.0);
-    host.round(&mut director, |round| round.plays_at(Sess(0xa0), Rung(0)));
-    host.round(&mut director, |round| round.asked(Sess(1), request(SETUP_TIMEOUT_MS)));
-    host.playing.push(Sess(1));
-    host.round(&mut director, |round| round.started(Sess(1), SetupNo(0), c));
+    host.round(&mut director, |round| round.session_rung_reported(SessionId(0xa0), Rung(0)));
+    host.round(&mut director, |round| round.session_requested(SessionId(1), request(SETUP_TIMEOUT_MS)));
+    host.playing.push(SessionId(1));
+    host.round(&mut director, |round| round.session_started(SessionId(1), SetupNumber(0), c));
     host.advance(&mut director, 100.0);
-    host.round(&mut director, |round| round.asked(Sess(2), request(SETUP_TIMEOUT_MS)));
+    host.round(&mut director, |round| round.session_requested(SessionId(2), request(SETUP_TIMEOUT_MS)));
     host.round(&mut director, |round| {
-        round.link_asked(a, 0.9);
-        round.ended(Sess(2), SetupNo(0), a, Ending::Full, false);
+        round.link_demand_reported(a, 0.9);
+        round.attempt_ended(SessionId(2), SetupNumber(0), a, AttemptOutcome::Full, false);
+    });
+    host.round(&mut director, |round| {
+        round.attempt_ended(SessionId(2), SetupNumber(1), b, AttemptOutcome::Fault, false)
+    });
+    host.round(&mut director, |round| {
+        round.attempt_ended(SessionId(2), SetupNumber(2), c, AttemptOutcome::Full, false)
     });
-    host.round(&mut director, |round| round.ended(Sess(2), SetupNo(1), b, Ending::Fault, false));
-    host.round(&mut director, |round| round.ended(Sess(2), SetupNo(2), c, Ending::Full, false));
     host.advance(&mut director, 1000.0);
-    host.round(&mut director, |round| round.delivered(c, 0.6));
+    host.round(&mut director, |round| round.delivery_reported(c, 0.6));
     host.advance(&mut director, 500.0);
-    host.round(&mut director, |round| round.asked(Sess(3), request(SETUP_TIMEOUT_MS)));
+    host.round(&mut director, |round| round.session_requested(SessionId(3), request(SETUP_TIMEOUT_MS)));
 
     assert_eq!(through_gateway, host.trace);
     expect![[r#"
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -12,11 +12,11 @@
 use std::fmt;
 use std::net::{IpAddr, SocketAddr};
 
-use ashglade::ids::{Node, Rung, Sess, SetupNo};
-use ashglade::interface::Ending;
+use ashglade::ids::{NodeId, Rung, SessionId, SetupNumber};
+use ashglade::interface::AttemptOutcome;
 use ashglade::time::{Instant, Span};
-use ashglade_engine::{Answer, Effect, Engine, Input, Start, Tally};
-use ashglade_site::Site;
+use ashglade_engine::{Effect, Engine, EngineConfig, Input, SessionResponse, Tally};
+use ashglade_site::DirectorSettings;
 use bytes::Bytes;
 use tracing::{debug, trace, warn};
 
@@ -142,8 +142,8 @@
 
 /// An outstanding SETUP of a session at one node.
 pub(crate) struct Attempt {
-    pub setup: SetupNo,
-    pub node: Node,
+    pub setup: SetupNumber,
+    pub node: NodeId,
     pub rung: Rung,
     pub deadline: Instant,
     /// The connection on which the SETUP was sent, and when; `None` while it waits for a connection.
@@ -162,7 +162,7 @@
     /// At least one SETUP has been sent, so the session may have started at a node.
     pub setup_sent: bool,
     /// The node where the session plays, and since when.
-    pub playing_at: Option<(Node, Instant)>,
+    pub playing_at: Option<(NodeId, Instant)>,
     /// Session description of the node's answer, until it is forwarded.
     pub description: Option<String>,
     /// The answer has been sent, or no one waits for one.
@@ -178,7 +178,7 @@
     /// Number of SETUP requests that are still queued.
     queued_setups: usize,
     /// Sessions that have no answer yet.
-    pending: BTreeSet<Sess>,
+    pending: BTreeSet<SessionId>,
     /// Number of playing sessions that were requested here.
     playing: usize,
     /// A close has been requested, which an incoming message cancels.
@@ -211,30 +211,30 @@
 
 /// Connects viewers' connections, the engine and nodes' connections. See the [module documentation](self).
 pub struct Board {
-    pub(crate) site: Site,
-    engine_config: Start,
+    pub(crate) site: DirectorSettings,
+    engine_config: EngineConfig,
     pub(crate) limits: ResourceLimits,
     engine: Option<Engine>,
     /// When the engine starts, once that is known.
     engine_start_at: Option<Instant>,
     pub(crate) inputs: Vec<Input>,
     pub(crate) actions: Vec<Action>,
-    pub(crate) sessions: BTreeMap<Sess, SessionState>,
-    pub(crate) session_by_tag: BTreeMap<Tag, Sess>,
+    pub(crate) sessions: BTreeMap<SessionId, SessionState>,
+    pub(crate) session_by_tag: BTreeMap<Tag, SessionId>,
     next_session: u64,
     setup_queue: VecDeque<QueuedSetup>,
     downstreams: BTreeMap<Link, DownstreamConnection>,
     /// Descriptors available to connections of viewers and of nodes.
     descriptor_limits: [usize; 2],
     release_notices: VecDeque<ReleaseNotice>,
-    pub(crate) nodes: BTreeMap<Node, NodeState>,
+    pub(crate) nodes: BTreeMap<NodeId, NodeState>,
     pub(crate) upstreams: BTreeMap<Trunk, UpstreamConnection>,
     pub(crate) next_upstream: u64,
     pub(crate) next_health_check: u64,
     /// Connections to nodes that this side closed, until their end is reported.
-    pub(crate) closing_upstreams: BTreeMap<Trunk, Node>,
+    pub(crate) closing_upstreams: BTreeMap<Trunk, NodeId>,
     /// Sent SETUPs that were cancelled and that the node may still start, oldest first.
-    pub(crate) cancelled_setups: VecDeque<(Node, Tag)>,
+    pub(crate) cancelled_setups: VecDeque<(NodeId, Tag)>,
     next_check_at: Instant,
     drain_started_at: Option<Instant>,
 }
@@ -246,12 +246,12 @@
         let site = config.site.clone();
         let limits = ResourceLimits::of(config.limits.memory_mb);
         let descriptors = config.limits.sockets.saturating_sub(RESERVED_DESCRIPTORS).max(2);
-        let engine_config = Start {
-            headend: site.headend.clone(),
+        let engine_config = EngineConfig {
+            director: site.director.clone(),
             answer_margin: Span::from_ms(ANSWER_MARGIN_MS),
-            probe_timeout: site.dial_timeout,
-            most_sessions: limits.sessions,
-            door: None,
+            probe_timeout: site.connect_timeout,
+            max_sessions: limits.sessions,
+            admission: None,
         };
         Board {
             engine_config,
@@ -270,7 +270,7 @@
             nodes: BTreeMap::new(),
             upstreams: BTreeMap::new(),
             next_upstream: 0,
-            next_health_check: site.headend.seed,
+            next_health_check: site.director.seed,
             closing_upstreams: BTreeMap::new(),
             cancelled_setups: VecDeque::new(),
             next_check_at: now,
@@ -315,7 +315,7 @@
 
     /// Returns when [`Board::turn`] must be called next, even if no event occurs.
     pub fn next_due(&self) -> Instant {
-        let engine = self.engine.as_ref().and_then(Engine::next_due);
+        let engine = self.engine.as_ref().and_then(Engine::next_deadline);
         let queued = self.setup_queue.front().map(|setup| setup.received_at);
         [Some(self.next_check_at), self.engine_start_at, queued, engine]
             .into_iter()
@@ -347,10 +347,10 @@
         }
         if self.engine_start_at.is_some_and(|at| at <= now) {
             self.engine_start_at = None;
-            self.engine = Some(Engine::start(self.engine_config.clone(), now));
+            self.engine = Some(Engine::new(self.engine_config.clone(), now));
         }
         while let Some(engine) = &mut self.engine {
-            if self.inputs.is_empty() && engine.next_due().is_none_or(|due| due > now) {
+            if self.inputs.is_empty() && engine.next_deadline().is_none_or(|due| due > now) {
                 break;
             }
             for effect in engine.round(now, std::mem::take(&mut self.inputs)) {
@@ -396,25 +396,25 @@
 
     fn apply_effect(&mut self, now: Instant, effect: Effect) {
         match effect {
-            Effect::Setup { sess: session, setup, node, rung, until } => {
+            Effect::SendSetup { session, setup, node, rung, deadline: until } => {
                 self.start_attempt(now, session, Attempt { setup, node, rung, deadline: until, sent: None });
             }
-            Effect::Withdraw { sess: session, setup, if_unsent } => {
+            Effect::CancelSetup { session, setup, if_unsent } => {
                 self.cancel_attempt(now, session, setup, if_unsent)
             }
-            Effect::Answer { sess: session, answer } => self.send_answer(now, session, answer),
-            Effect::Rung { sess: session, rung } => self.change_rung(now, session, rung),
-            Effect::Release { sess: session } => self.release_session(now, session),
-            Effect::SendBack { sess: session } => {
+            Effect::Respond { session, response: answer } => self.send_answer(now, session, answer),
+            Effect::ChangeRung { session, rung } => self.change_rung(now, session, rung),
+            Effect::ReleaseSession { session } => self.release_session(now, session),
+            Effect::ReconnectViewer { session } => {
                 let tag = self.sessions.get(&session).map(|state| state.tag);
                 if let Some(line) = tag.and_then(|tag| message::write(Verb::Move, tag, &[], None, None)) {
                     self.send_to_viewer(session, line);
                 }
                 self.release_session(now, session);
-                self.inputs.push(Input::Over { sess: session, how: Ending::Cancelled });
+                self.inputs.push(Input::SessionEnded { session, outcome: AttemptOutcome::Cancelled });
             }
-            Effect::Probe { probe, node } => self.start_probe(now, probe, node),
-            Effect::Listed { .. } | Effect::Drained => {}
+            Effect::SendProbe { probe, node } => self.start_probe(now, probe, node),
+            Effect::DiscoveryResult { .. } | Effect::Drained => {}
         }
     }
 
@@ -644,7 +644,7 @@
         let Some(session) = self.create_session(now, downstream, tag, Some(Box::new(request)), None) else {
             return;
         };
-        self.inputs.push(Input::Asked { sess: session, want });
+        self.inputs.push(Input::SessionRequested { session, request: want });
     }
 
     /// Creates a session that awaits its answer, or one that already plays if `playing_at` is given.
@@ -654,10 +654,11 @@
         downstream: Link,
         tag: Tag,
         request: Option<Box<SetupRequest>>,
-        playing_at: Option<(Node, Instant)>,
-    ) -> Option<Sess> {
+        playing_at: Option<(NodeId, Instant)>,
+    ) -> Option<SessionId> {
         let connection = self.downstreams.get_mut(&downstream)?;
-        let (session, client, answered) = (Sess(self.next_session), connection.client, playing_at.is_some());
+        let (session, client, answered) =
+            (SessionId(self.next_session), connection.client, playing_at.is_some());
         self.next_session += 1;
         if answered {
             connection.playing += 1;
@@ -693,7 +694,7 @@
         let node = node_id(name);
         if self.nodes.get(&node).is_some_and(|node_state| node_state.removed) {
             // The node is gone and will never report the session's end.
-            return self.refuse(downstream, tag, causes::release_cause(Ending::Lost));
+            return self.refuse(downstream, tag, causes::release_cause(AttemptOutcome::Lost));
         }
         if self.sessions.len() >= self.limits.sessions {
             return self.refuse(downstream, tag, causes::CONGESTED);
@@ -702,29 +703,29 @@
         let Some(session) = self.create_session(now, downstream, tag, None, Some((node, now))) else {
             return;
         };
-        self.inputs.push(Input::UnderWay { sess: session, want: request.want, node });
+        self.inputs.push(Input::SessionHandedOver { session, request: request.want, node });
         self.session_plays(now, session, node);
     }
 
     /// Handles the viewer's side of the end of a session: it cancelled the request, ended the session or
     /// disconnected.
-    fn viewer_left(&mut self, session: Sess) {
+    fn viewer_left(&mut self, session: SessionId) {
         let Some(state) = self.sessions.get_mut(&session) else { return };
         state.answered = true;
         let downstream = state.downstream;
         if let Some(connection) = self.downstreams.get_mut(&downstream) {
             connection.pending.remove(&session);
         }
-        self.inputs.push(Input::Left { sess: session });
+        self.inputs.push(Input::ViewerLeft { session });
         self.cancel_unsent_attempt(session);
         self.remove_if_finished(session);
     }
 
-    fn send_answer(&mut self, now: Instant, session: Sess, answer: Answer) {
+    fn send_answer(&mut self, now: Instant, session: SessionId, answer: SessionResponse) {
         let Some(state) = self.sessions.get_mut(&session) else { return };
         state.answered = true;
         let (tag, downstream) = (state.tag, state.downstream);
-        let plays = matches!(answer, Answer::Plays { .. });
+        let plays = matches!(answer, SessionResponse::Plays { .. });
         let description = state.description.take();
         let line = match &description {
             Some(text) if plays => message::write(Verb::Started, tag, &[], None, Some(text)),
@@ -740,7 +741,7 @@
     }
 
     /// Sends a line on the connection of the session's request, or on another connection of the same client.
-    pub(crate) fn send_to_viewer(&mut self, session: Sess, line: Bytes) {
+    pub(crate) fn send_to_viewer(&mut self, session: SessionId, line: Bytes) {
         let Some(state) = self.sessions.get(&session) else { return };
         let (preferred, client) = (state.downstream, state.client);
         if let Some(downstream) = self.downstream_of(client, Some(preferred)) {
@@ -774,8 +775,14 @@
 
     /// Ends a playing session: sends a release to its viewer, if `notify_viewer`, and removes the session's
     /// state.
-    pub(crate) fn end_session(&mut self, now: Instant, session: Sess, outcome: Ending, notify_viewer: bool) {
-        self.inputs.push(Input::Over { sess: session, how: outcome });
+    pub(crate) fn end_session(
+        &mut self,
+        now: Instant,
+        session: SessionId,
+        outcome: AttemptOutcome,
+        notify_viewer: bool,
+    ) {
+        self.inputs.push(Input::SessionEnded { session, outcome });
         let Some(state) = self.sessions.get(&session) else { return };
         let (tag, client, downstream) = (state.tag, state.client, state.downstream);
         let line = message::write(Verb::Finish, tag, &[], Some(causes::release_cause(outcome)), None);
@@ -787,7 +794,7 @@
     }
 
     /// Records that the session no longer plays at its node.
-    pub(crate) fn clear_playing(&mut self, session: Sess) {
+    pub(crate) fn clear_playing(&mut self, session: SessionId) {
         let Some(state) = self.sessions.get_mut(&session) else { return };
         let Some((node, _)) = state.playing_at.take() else { return };
         if let Some(node_state) = self.nodes.get_mut(&node) {
@@ -799,7 +806,7 @@
     }
 
     /// Removes a session that is answered, has no outstanding SETUP and does not play.
-    pub(crate) fn remove_if_finished(&mut self, session: Sess) {
+    pub(crate) fn remove_if_finished(&mut self, session: SessionId) {
         let is_finished =
             |state: &SessionState| state.answered && state.attempt.is_none() && state.playing_at.is_none();
         if self.sessions.get(&session).is_some_and(is_finished)
--- a/crates/platform/src/upstream.rs
+++ b/crates/platform/src/upstream.rs
@@ -9,10 +9,10 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-use ashglade::ids::{Node, Rung, Sess, SetupNo};
-use ashglade::interface::{Ending, Gauge};
+use ashglade::ids::{NodeId, Rung, SessionId, SetupNumber};
+use ashglade::interface::{AttemptOutcome, LoadMetric};
 use ashglade::time::{Instant, Span};
-use ashglade_engine::{Input, Load, Standing, Told};
+use ashglade_engine::{Input, LoadReport, NodeStatus, NodeUpdate};
 use bytes::Bytes;
 use tracing::{debug, trace, warn};
 
@@ -54,13 +54,13 @@
     pub removed: bool,
     upstreams: BTreeSet<Trunk>,
     /// Sessions whose SETUP waits for a connection.
-    waiting_setups: VecDeque<Sess>,
+    waiting_setups: VecDeque<SessionId>,
     /// The engine's probes that wait for a connection.
     waiting_probes: Vec<u64>,
     /// Releases and rung changes, which any connection may carry, with the time at which each was queued.
     queued_lines: VecDeque<(Instant, Bytes)>,
     /// Sessions that play at the node.
-    pub playing: BTreeSet<Sess>,
+    pub playing: BTreeSet<SessionId>,
     last_heard_at: Instant,
     /// When the health check that is unanswered was sent.
     health_check_sent_at: Option<Instant>,
@@ -99,7 +99,7 @@
 
 /// A connection to a node.
 pub(crate) struct UpstreamConnection {
-    pub node: Node,
+    pub node: NodeId,
     connected: bool,
     /// When the connection attempt began.
     created_at: Instant,
@@ -107,7 +107,7 @@
     /// The connection was established at once after another one was lost shortly after a message.
     resumes: bool,
     /// Sessions whose SETUP was sent here and has no answer.
-    pending: BTreeSet<Sess>,
+    pending: BTreeSet<SessionId>,
     /// Releases sent here that the node has not confirmed, with the time of each.
     unconfirmed_releases: VecDeque<(Instant, Tag)>,
     /// Unanswered health checks, with the number of the probe if the engine requested one.
@@ -118,7 +118,7 @@
     // Events
 
     pub(crate) fn apply_discovery_update(&mut self, now: Instant, update: DiscoveryUpdate) {
-        let mut unnamed: BTreeSet<Node> = BTreeSet::new();
+        let mut unnamed: BTreeSet<NodeId> = BTreeSet::new();
         if update.snapshot {
             unnamed.extend(self.nodes.keys());
         }
@@ -126,11 +126,11 @@
         for endpoint in update.nodes {
             unnamed.remove(&endpoint.node);
             let standing = match (endpoint.ready, endpoint.removed) {
-                (true, _) => Standing::Ready(endpoint.place),
-                (_, true) => Standing::Gone,
-                _ => Standing::Draining,
+                (true, _) => NodeStatus::Ready(endpoint.place),
+                (_, true) => NodeStatus::Gone,
+                _ => NodeStatus::Draining,
             };
-            nodes.push(Told { node: endpoint.node, standing });
+            nodes.push(NodeUpdate { node: endpoint.node, status: standing });
             let name = endpoint.name;
             let node_state = self.nodes.entry(endpoint.node).or_insert_with(|| NodeState::new(name, now));
             node_state.listed = true;
@@ -150,28 +150,28 @@
             }
         }
         for node in unnamed {
-            nodes.push(Told { node, standing: Standing::Gone });
+            nodes.push(NodeUpdate { node, status: NodeStatus::Gone });
             if let Some(node_state) = self.nodes.get_mut(&node) {
                 (node_state.listed, node_state.removed, node_state.address) = (true, true, None);
                 node_state.queued_lines.clear();
             }
         }
-        self.inputs.push(Input::Told { whole: update.snapshot, nodes });
+        self.inputs.push(Input::DiscoveryUpdate { full: update.snapshot, nodes });
     }
 
     /// Ends the sessions and the connections that are older than the start of the node's process: they are
     /// lost.
-    fn node_started(&mut self, now: Instant, node: Node, started: Instant) {
+    fn node_started(&mut self, now: Instant, node: NodeId, started: Instant) {
         let Some(node_state) = self.nodes.get(&node) else { return };
         let predates_start =
             |upstream: &Trunk| self.upstreams.get(upstream).is_some_and(|c| c.created_at < started);
         let stale: Vec<Trunk> = node_state.upstreams.iter().copied().filter(predates_start).collect();
-        let played_before = |session: &Sess| {
+        let played_before = |session: &SessionId| {
             self.sessions.get(session).and_then(|state| state.playing_at).is_some_and(|at| at.1 < started)
         };
-        let lost: Vec<Sess> = node_state.playing.iter().copied().filter(played_before).collect();
+        let lost: Vec<SessionId> = node_state.playing.iter().copied().filter(played_before).collect();
         for session in lost {
-            self.end_session(now, session, Ending::Lost, true);
+            self.end_session(now, session, AttemptOutcome::Lost, true);
         }
         for upstream in stale {
             self.abandon_upstream(now, upstream);
@@ -180,7 +180,7 @@
 
     /// Adds a node at which a handed-over session plays, if it is unknown. The node list may name it a moment
     /// later.
-    pub(crate) fn ensure_node(&mut self, now: Instant, node: Node, name: &str) {
+    pub(crate) fn ensure_node(&mut self, now: Instant, node: NodeId, name: &str) {
         self.nodes.entry(node).or_insert_with(|| NodeState::new(name.to_string(), now));
     }
 
@@ -194,7 +194,7 @@
         // long, so a quick reconnect suggests that the process keeps running. But the kernel also accepts
         // connections for a process that is being killed: only a message on the new connection proves it.
         connection.resumes =
-            node_state.connection_lost_at.take().is_some_and(|at| now - at <= self.site.dial_timeout);
+            node_state.connection_lost_at.take().is_some_and(|at| now - at <= self.site.connect_timeout);
         let queued_lines = std::mem::take(&mut node_state.queued_lines);
         let (setups, probes) =
             (std::mem::take(&mut node_state.waiting_setups), std::mem::take(&mut node_state.waiting_probes));
@@ -266,7 +266,7 @@
         {
             node_state.restart_suspected_at = None;
             debug!(name = node_state.name, resumes, "the node's process has not restarted");
-            self.inputs.push(Input::WentOn { node });
+            self.inputs.push(Input::NodeKeptRunning { node });
         }
         match (message.verb, session) {
             (Verb::Started, Some(session)) if attempt.is_some() => {
@@ -280,7 +280,7 @@
                         (Some((node, now)), Some(text), None);
                 }
                 self.session_plays(now, session, node);
-                self.inputs.push(Input::Started { sess: session, setup, load });
+                self.inputs.push(Input::SetupAccepted { session, setup, load });
             }
             (Verb::Started, _) if !plays_here => {
                 // The SETUP was cancelled meanwhile, or was never sent.
@@ -295,12 +295,12 @@
                     (Some(session), Some(setup)) => {
                         self.clear_attempt(session);
                         let outcome = causes::setup_outcome(cause);
-                        self.inputs.push(Input::Ended { sess: session, setup, how: outcome, load });
+                        self.inputs.push(Input::SetupFailed { session, setup, outcome, load });
                         self.report_node_alive(node, outcome, true);
                         self.remove_if_finished(session);
                     }
                     (Some(session), None) if plays_here => {
-                        self.inputs.extend(load.map(|load| Input::Load { node, load }));
+                        self.inputs.extend(load.map(|load| Input::NodeLoad { node, load }));
                         let (outcome, notify_viewer) = causes::session_outcome(cause);
                         let playing_since = self
                             .sessions
@@ -324,11 +324,11 @@
                 match check {
                     Some(Some(probe)) => {
                         let load = passed.then(|| load.unwrap_or_default());
-                        self.inputs.push(Input::Probed { probe, load });
+                        self.inputs.push(Input::ProbeResult { probe, load });
                     }
                     // The gateway's own health checks bring the same load reports as the engine's probes.
                     Some(None) if passed => {
-                        self.inputs.extend(load.map(|load| Input::Load { node, load }));
+                        self.inputs.extend(load.map(|load| Input::NodeLoad { node, load }));
                     }
                     _ => {}
                 }
@@ -336,15 +336,15 @@
             (Verb::Notice, Some(session)) if plays_here => {
                 let Some(value) = message.opts.number("value") else { return };
                 match message.opts.get("note") {
-                    Some("d") => self.inputs.push(Input::Delivered { node, share: value }),
-                    Some("r") => self.inputs.push(Input::Stays { sess: session, rung: Rung(value as u8) }),
+                    Some("d") => self.inputs.push(Input::NodeDelivery { node, share: value }),
+                    Some("r") => self.inputs.push(Input::RungUnchanged { session, rung: Rung(value as u8) }),
                     Some("l") => {
-                        let load = Load { link: Some(value), ..Load::default() };
-                        self.inputs.push(Input::Load { node, load });
+                        let load = LoadReport { link: Some(value), ..LoadReport::default() };
+                        self.inputs.push(Input::NodeLoad { node, load });
                     }
                     Some("u") => {
-                        let load = Load { uplink: Some(value), ..Load::default() };
-                        self.inputs.push(Input::Load { node, load });
+                        let load = LoadReport { uplink: Some(value), ..LoadReport::default() };
+                        self.inputs.push(Input::NodeLoad { node, load });
                     }
                     _ => {}
                 }
@@ -355,9 +355,9 @@
 
     /// Tells the engine that the node keeps running if the node itself reported a session as lost, on a
     /// connection that is at least as old as the session.
-    fn report_node_alive(&mut self, node: Node, outcome: Ending, same_connection: bool) {
-        if outcome == Ending::Lost && same_connection {
-            self.inputs.push(Input::WentOn { node });
+    fn report_node_alive(&mut self, node: NodeId, outcome: AttemptOutcome, same_connection: bool) {
+        if outcome == AttemptOutcome::Lost && same_connection {
+            self.inputs.push(Input::NodeKeptRunning { node });
         }
     }
 
@@ -387,17 +387,17 @@
             let Some(attempt) = state.attempt.take() else { continue };
             // The session may have started, and may play at the node without being known here.
             let tag = state.tag;
-            self.inputs.push(Input::Ended {
-                sess: session,
+            self.inputs.push(Input::SetupFailed {
+                session,
                 setup: attempt.setup,
-                how: Ending::Lost,
+                outcome: AttemptOutcome::Lost,
                 load: None,
             });
             self.queue_release(now, node, tag);
             self.remove_if_finished(session);
         }
         for probe in connection.health_checks.into_values().flatten() {
-            self.inputs.push(Input::Probed { probe, load: None });
+            self.inputs.push(Input::ProbeResult { probe, load: None });
         }
         // Unconfirmed releases may have been lost with the connection.
         for (_, tag) in connection
@@ -431,39 +431,40 @@
 
     /// Ends the sessions that have played at the node since `until` or earlier, as lost, and drops lines that
     /// were queued by then.
-    fn end_lost_sessions(&mut self, now: Instant, node: Node, until: Instant) {
+    fn end_lost_sessions(&mut self, now: Instant, node: NodeId, until: Instant) {
         let Some(node_state) = self.nodes.get_mut(&node) else { return };
         node_state.queued_lines.retain(|(queued_at, _)| *queued_at > until);
-        let played_by_then = |session: &Sess| {
+        let played_by_then = |session: &SessionId| {
             self.sessions.get(session).and_then(|state| state.playing_at).is_none_or(|at| at.1 <= until)
         };
-        let lost: Vec<Sess> = node_state.playing.iter().copied().filter(played_by_then).collect();
+        let lost: Vec<SessionId> = node_state.playing.iter().copied().filter(played_by_then).collect();
         for session in lost {
-            self.end_session(now, session, Ending::Lost, true);
+            self.end_session(now, session, AttemptOutcome::Lost, true);
         }
     }
 
     /// Cancels a SETUP that still waits for a connection, as its viewer has left. Applies also where the
     /// settings don't allow sent SETUPs to be cancelled.
-    pub(crate) fn cancel_unsent_attempt(&mut self, session: Sess) {
+    pub(crate) fn cancel_unsent_attempt(&mut self, session: SessionId) {
         let Some(state) = self.sessions.get_mut(&session) else { return };
         let Some(attempt) = state.attempt.take_if(|attempt| attempt.sent.is_none()) else { return };
         if let Some(node_state) = self.nodes.get_mut(&attempt.node) {
             node_state.waiting_setups.retain(|&other| other != session);
         }
-        self.inputs.push(Input::Ended {
-            sess: session,
+        self.inputs.push(Input::SetupFailed {
+            session,
             setup: attempt.setup,
-            how: Ending::Unsent,
+            outcome: AttemptOutcome::Unsent,
             load: None,
         });
     }
 
     /// Fails the SETUPs and probes that wait for a connection to the node, unless one is still being
     /// established.
-    fn fail_waiting(&mut self, node: Node, reason: CloseReason) {
+    fn fail_waiting(&mut self, node: NodeId, reason: CloseReason) {
         // Without local resources no connection was attempted.
-        let outcome = if reason == CloseReason::Wanting { Ending::Unsent } else { Ending::Unreachable };
+        let outcome =
+            if reason == CloseReason::Wanting { AttemptOutcome::Unsent } else { AttemptOutcome::Unreachable };
         let Some(node_state) = self.nodes.get_mut(&node) else { return };
         if node_state
             .upstreams
@@ -478,19 +479,24 @@
             let Some(attempt) = self.sessions.get_mut(&session).and_then(|state| state.attempt.take()) else {
                 continue;
             };
-            self.inputs.push(Input::Ended { sess: session, setup: attempt.setup, how: outcome, load: None });
+            self.inputs.push(Input::SetupFailed { session, setup: attempt.setup, outcome, load: None });
             self.remove_if_finished(session);
         }
-        self.inputs.extend(probes.into_iter().map(|probe| Input::Probed { probe, load: None }));
+        self.inputs.extend(probes.into_iter().map(|probe| Input::ProbeResult { probe, load: None }));
     }
 
     // Effects of the engine
 
-    pub(crate) fn start_attempt(&mut self, now: Instant, session: Sess, attempt: Attempt) {
+    pub(crate) fn start_attempt(&mut self, now: Instant, session: SessionId, attempt: Attempt) {
         let (node, setup) = (attempt.node, attempt.setup);
         let Some(state) = self.sessions.get_mut(&session) else { return };
         if self.nodes.get(&node).is_none_or(|node_state| node_state.address.is_none()) {
-            return self.inputs.push(Input::Ended { sess: session, setup, how: Ending::Unsent, load: None });
+            return self.inputs.push(Input::SetupFailed {
+                session,
+                setup,
+                outcome: AttemptOutcome::Unsent,
+                load: None,
+            });
         }
         state.attempt = Some(attempt);
         match self.available_upstream(now, node) {
@@ -510,21 +516,31 @@
                     if let Some(state) = self.sessions.get_mut(&session) {
                         state.attempt = None;
                     }
-                    self.inputs.push(Input::Ended { sess: session, setup, how: Ending::Unsent, load: None });
+                    self.inputs.push(Input::SetupFailed {
+                        session,
+                        setup,
+                        outcome: AttemptOutcome::Unsent,
+                        load: None,
+                    });
                 }
             },
         }
     }
 
     /// Sends the SETUP of the session's attempt. From here on the session may start at the node.
-    fn send_setup(&mut self, now: Instant, session: Sess, upstream: Trunk) {
+    fn send_setup(&mut self, now: Instant, session: SessionId, upstream: Trunk) {
         let Some(state) = self.sessions.get_mut(&session) else { return };
         let (Some(attempt), Some(request)) = (state.attempt.as_mut(), state.request.as_ref()) else { return };
         let setup = attempt.setup;
         if state.answered || now >= attempt.deadline {
             // No one waits for it any longer.
             state.attempt = None;
-            self.inputs.push(Input::Ended { sess: session, setup, how: Ending::Unsent, load: None });
+            self.inputs.push(Input::SetupFailed {
+                session,
+                setup,
+                outcome: AttemptOutcome::Unsent,
+                load: None,
+            });
             return self.remove_if_finished(session);
         }
         let (rung, left_ms) =
@@ -538,20 +554,31 @@
         let line = message::write(Verb::Start, state.tag, &opts, None, Some(&request.description));
         let Some(line) = line else {
             state.attempt = None;
-            return self.inputs.push(Input::Ended { sess: session, setup, how: Ending::Unsent, load: None });
+            return self.inputs.push(Input::SetupFailed {
+                session,
+                setup,
+                outcome: AttemptOutcome::Unsent,
+                load: None,
+            });
         };
         attempt.sent = Some((upstream, now));
         state.setup_sent = true;
         if let Some(connection) = self.upstreams.get_mut(&upstream) {
             connection.pending.insert(session);
         }
-        self.inputs.push(Input::Written { sess: session, setup });
+        self.inputs.push(Input::SetupWritten { session, setup });
         self.actions.push(Action::ToNode(upstream, line));
     }
 
     /// Cancels a SETUP and reports its outcome to the engine. With `if_unsent`, a SETUP that has been sent
     /// goes on.
-    pub(crate) fn cancel_attempt(&mut self, now: Instant, session: Sess, setup: SetupNo, if_unsent: bool) {
+    pub(crate) fn cancel_attempt(
+        &mut self,
+        now: Instant,
+        session: SessionId,
+        setup: SetupNumber,
+        if_unsent: bool,
+    ) {
         let Some(state) = self.sessions.get_mut(&session) else { return };
         let Some(attempt) = state.attempt.as_ref().filter(|attempt| attempt.setup == setup) else { return };
         let (tag, node, timed_out, sent) = (state.tag, attempt.node, now >= attempt.deadline, attempt.sent);
@@ -560,8 +587,8 @@
             if let Some(node_state) = self.nodes.get_mut(&node) {
                 node_state.waiting_setups.retain(|&other| other != session);
             }
-            let outcome = if timed_out { Ending::Unreachable } else { Ending::Unsent };
-            self.inputs.push(Input::Ended { sess: session, setup, how: outcome, load: None });
+            let outcome = if timed_out { AttemptOutcome::Unreachable } else { AttemptOutcome::Unsent };
+            self.inputs.push(Input::SetupFailed { session, setup, outcome, load: None });
             return self.remove_if_finished(session);
         };
         if if_unsent {
@@ -575,7 +602,7 @@
                 "too many cancelled SETUPs are held; dropped the oldest, whose session is not released if it still starts"
             );
         }
-        self.inputs.push(Input::Ended { sess: session, setup, how: Ending::Silent, load: None });
+        self.inputs.push(Input::SetupFailed { session, setup, outcome: AttemptOutcome::Silent, load: None });
         if timed_out && let Some(node_state) = self.nodes.get_mut(&node) {
             node_state.restart_suspected_at = Some(now);
         }
@@ -592,7 +619,7 @@
         self.remove_if_finished(session);
     }
 
-    pub(crate) fn change_rung(&mut self, now: Instant, session: Sess, rung: Rung) {
+    pub(crate) fn change_rung(&mut self, now: Instant, session: SessionId, rung: Rung) {
         let Some(state) = self.sessions.get(&session) else { return };
         if let Some((node, _)) = state.playing_at {
             let tag = state.tag;
@@ -601,7 +628,7 @@
     }
 
     /// Tears the session down at its node, if it plays.
-    pub(crate) fn release_session(&mut self, now: Instant, session: Sess) {
+    pub(crate) fn release_session(&mut self, now: Instant, session: SessionId) {
         if let Some((node, _)) = self.sessions.get(&session).and_then(|state| state.playing_at)
             && let Some(tag) = self.sessions.get(&session).map(|state| state.tag)
         {
@@ -611,12 +638,12 @@
         self.remove_if_finished(session);
     }
 
-    pub(crate) fn start_probe(&mut self, now: Instant, probe: u64, node: Node) {
+    pub(crate) fn start_probe(&mut self, now: Instant, probe: u64, node: NodeId) {
         match self.available_upstream(now, node) {
             Some(upstream) => self.send_health_check(upstream, Some(probe)),
             None => match self.nodes.get_mut(&node) {
                 Some(node_state) if !node_state.upstreams.is_empty() => node_state.waiting_probes.push(probe),
-                _ => self.inputs.push(Input::Probed { probe, load: None }),
+                _ => self.inputs.push(Input::ProbeResult { probe, load: None }),
             },
         }
     }
@@ -625,7 +652,7 @@
 
     /// Records that the session plays at the node, and connects to the node if there is no connection on
     /// which it could report the session's end.
-    pub(crate) fn session_plays(&mut self, now: Instant, session: Sess, node: Node) {
+    pub(crate) fn session_plays(&mut self, now: Instant, session: SessionId, node: NodeId) {
         let Some(node_state) = self.nodes.get_mut(&node) else { return };
         node_state.playing.insert(session);
         if node_state.upstreams.is_empty() {
@@ -635,7 +662,7 @@
     }
 
     /// Removes the session's attempt, which has been answered or cancelled.
-    fn clear_attempt(&mut self, session: Sess) {
+    fn clear_attempt(&mut self, session: SessionId) {
         let attempt = self.sessions.get_mut(&session).and_then(|state| state.attempt.take());
         if let Some((upstream, _)) = attempt.and_then(|attempt| attempt.sent)
             && let Some(connection) = self.upstreams.get_mut(&upstream)
@@ -646,9 +673,9 @@
 
     /// Returns a connection that can carry a further SETUP. If there is none, starts to connect unless that
     /// is under way or not allowed.
-    fn available_upstream(&mut self, now: Instant, node: Node) -> Option<Trunk> {
+    fn available_upstream(&mut self, now: Instant, node: NodeId) -> Option<Trunk> {
         let node_state = self.nodes.get(&node)?;
-        let max_pending = self.site.streams.unwrap_or(usize::MAX);
+        let max_pending = self.site.max_streams_per_connection.unwrap_or(usize::MAX);
         let has_room = |upstream: &&Trunk| {
             self.upstreams.get(upstream).is_some_and(|c| c.connected && c.pending.len() < max_pending)
         };
@@ -666,7 +693,7 @@
     }
 
     /// Starts to connect to the node, unless it has no address, or the limits on connections don't allow it.
-    fn connect(&mut self, now: Instant, node: Node) {
+    fn connect(&mut self, now: Instant, node: NodeId) {
         let Some(node_state) = self.nodes.get_mut(&node) else { return };
         let Some(address) =
             node_state.address.filter(|_| node_state.upstreams.len() < MAX_UPSTREAMS_PER_NODE)
@@ -781,7 +808,7 @@
     }
 
     /// Queues a release for the next connection to the node, unless the same release is queued already.
-    fn queue_release(&mut self, now: Instant, node: Node, tag: Tag) {
+    fn queue_release(&mut self, now: Instant, node: NodeId, tag: Tag) {
         let Some(line) = encode_release(tag) else { return };
         let is_queued =
             |node_state: &NodeState| node_state.queued_lines.iter().any(|(_, other)| *other == line);
@@ -791,7 +818,7 @@
     }
 
     /// Queues a line until there is a connection to the node.
-    fn queue_line(&mut self, now: Instant, node: Node, line: Bytes) {
+    fn queue_line(&mut self, now: Instant, node: NodeId, line: Bytes) {
         let Some(node_state) = self.nodes.get_mut(&node) else { return };
         if node_state.queued_lines.len() < self.limits.owed {
             node_state.queued_lines.push_back((now, line));
@@ -804,7 +831,7 @@
     fn send_to_node(
         &mut self,
         now: Instant,
-        node: Node,
+        node: NodeId,
         verb: Verb,
         tag: Tag,
         opts: &[(&str, &str)],
@@ -825,14 +852,14 @@
     }
 
     pub(crate) fn check_nodes(&mut self, now: Instant) {
-        let nodes: Vec<Node> = self.nodes.keys().copied().collect();
+        let nodes: Vec<NodeId> = self.nodes.keys().copied().collect();
         for node in nodes {
             self.check_node(now, node);
         }
     }
 
     /// Expires queued lines, sends health checks, reconnects, and removes the node when it is gone.
-    fn check_node(&mut self, now: Instant, node: Node) {
+    fn check_node(&mut self, now: Instant, node: NodeId) {
         let Some(node_state) = self.nodes.get_mut(&node) else { return };
         let has_elapsed = |since: Instant, seconds: f64| now - since > Span::from_secs(seconds);
         if node_state.address.is_none() && node_state.listed {
@@ -909,15 +936,15 @@
 
 /// Parses a load report: values by the names that the settings give them, such as `x0:0.12;x1:0.4`. Unknown
 /// names and malformed values are ignored.
-fn parse_load(text: &str) -> Load {
-    let mut load = Load::default();
+fn parse_load(text: &str) -> LoadReport {
+    let mut load = LoadReport::default();
     for (name, value) in text.split(';').filter_map(|pair| pair.split_once(':')) {
         let value = parse_finite(value);
-        match ashglade_site::gauge(name) {
-            Gauge::Link => load.link = value,
-            Gauge::Uplink => load.uplink = value,
-            Gauge::Streams => load.streams = value,
-            Gauge::Other => {}
+        match ashglade_site::load_metric(name) {
+            LoadMetric::Link => load.link = value,
+            LoadMetric::Uplink => load.uplink = value,
+            LoadMetric::Streams => load.streams = value,
+            LoadMetric::Other => {}
         }
     }
     load
