--- a/crates/platform-director/src/bus.rs
+++ b/crates/platform-director/src/bus.rs
@@ -56,13 +56,14 @@
                 if last.take().is_some() {
                     info!(%address, "the event bus answers again");
                 }
-                let missed = batch.batch.last().is_some_and(|last| last.offset > held + 1);
-                let news = batch.after(held);
+                let missed = batch.events.last().is_some_and(|last| last.offset > held + 1);
+                let news = batch.events_after(held);
                 match news.last() {
                     Some(last) => {
                         held = last.offset;
-                        let news = news.into_iter().map(|event| event.news(&names)).collect();
-                        if events.send(Event::Bus(news)).await.is_err() {
+                        let news =
+                            news.into_iter().map(|event| event.into_discovery_update(&names)).collect();
+                        if events.send(Event::DiscoveryUpdates(news)).await.is_err() {
                             return;
                         }
                     }
--- a/crates/platform-director/src/connection.rs
+++ b/crates/platform-director/src/connection.rs
@@ -9,7 +9,7 @@
 use std::io::ErrorKind;
 use std::time::Duration;
 
-use ashglade_platform::Lines;
+use ashglade_platform::LineDecoder;
 use bytes::{Buf, Bytes, BytesMut};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -69,7 +69,7 @@
 struct Reader {
     half: OwnedReadHalf,
     buffer: BytesMut,
-    lines: Lines,
+    lines: LineDecoder,
     /// The peer's close has been read: what is buffered was its last.
     ended: bool,
     /// A line has begun and must end by then.
@@ -248,7 +248,7 @@
     let _ = stream.set_nodelay(true);
     let (read, write) = stream.into_split();
     let mut reader =
-        Reader { half: read, buffer: BytesMut::new(), lines: Lines::default(), ended: false, by: None };
+        Reader { half: read, buffer: BytesMut::new(), lines: LineDecoder::default(), ended: false, by: None };
     let (waiting, under_way, by) = (Vec::new(), Vec::new(), Instant::now());
     let mut writer = Writer { half: write, waiting, under_way, bytes: Bytes::new(), by, last: None };
     let mut told = 0;
--- a/crates/platform-director/src/hub.rs
+++ b/crates/platform-director/src/hub.rs
@@ -8,7 +8,7 @@
 
 use ashglade::time::Instant;
 use ashglade_clock::Clock;
-use ashglade_platform::{Action, Board, Event, Link, Trunk};
+use ashglade_platform::{Action, DownstreamId, Event, Gateway, UpstreamId};
 use bytes::Bytes;
 use tokio::net::TcpListener;
 use tokio::sync::{Semaphore, mpsc};
@@ -35,7 +35,7 @@
 /// What connections tell the hub.
 pub enum Word {
     /// With what its connection is given orders by.
-    Opened(Link, IpAddr, mpsc::Sender<Order>),
+    Opened(DownstreamId, IpAddr, mpsc::Sender<Order>),
     Event(Event),
 }
 
@@ -48,14 +48,14 @@
 }
 
 impl Descriptors {
-    pub fn of(board: &Board) -> Descriptors {
-        let [viewers, nodes] = board.descriptors();
+    pub fn of(board: &Gateway) -> Descriptors {
+        let [viewers, nodes] = board.descriptor_limits();
         Descriptors { viewers: Arc::new(Semaphore::new(viewers)), nodes: Arc::new(Semaphore::new(nodes)) }
     }
 }
 
 pub struct Hub {
-    board: Board,
+    board: Gateway,
     clock: Clock,
     dial_timeout: Duration,
     descriptors: Descriptors,
@@ -63,14 +63,14 @@
     /// The event bus and the planned end: no flood of connections keeps them waiting.
     first: (mpsc::Sender<Event>, mpsc::Receiver<Event>),
     /// With how many lines have come from each.
-    viewers: BTreeMap<Link, (mpsc::Sender<Order>, u64)>,
-    nodes: BTreeMap<Trunk, mpsc::Sender<Order>>,
+    viewers: BTreeMap<DownstreamId, (mpsc::Sender<Order>, u64)>,
+    nodes: BTreeMap<UpstreamId, mpsc::Sender<Order>>,
     /// What the board hears of in the next turn.
     taken: Vec<Event>,
 }
 
 impl Hub {
-    pub fn new(board: Board, clock: Clock, dial_timeout: Duration) -> Hub {
+    pub fn new(board: Gateway, clock: Clock, dial_timeout: Duration) -> Hub {
         Hub {
             descriptors: Descriptors::of(&board),
             board,
@@ -92,13 +92,13 @@
     /// Takes viewers' connections, as many as there are descriptors for; others wait with the machine.
     pub fn accept(&self, listener: TcpListener) -> impl Future<Output = ()> + Send + 'static {
         let (words, descriptors) = (self.words.0.clone(), self.descriptors.viewers.clone());
-        let queue = self.board.queue();
+        let queue = self.board.max_queued_lines();
         async move {
             let mut next = 0;
             while let Ok(descriptor) = descriptors.clone().acquire_owned().await {
                 match listener.accept().await {
                     Ok((stream, from)) => {
-                        let link = Link(next);
+                        let link = DownstreamId(next);
                         next += 1;
                         tokio::spawn(viewers::serve(
                             link,
@@ -123,7 +123,7 @@
         let mut words = Vec::with_capacity(WORDS);
         let mut report = tokio::time::interval(REPORT);
         loop {
-            let due = if self.taken.is_empty() { self.board.next_due() } else { Instant::LONG_AGO };
+            let due = if self.taken.is_empty() { self.board.next_deadline() } else { Instant::LONG_AGO };
             let due = self.clock.to_tokio(due);
             tokio::select! {
                 biased;
@@ -151,31 +151,31 @@
                 match word {
                     Word::Opened(link, from, sender) => {
                         self.viewers.insert(link, (sender, 0));
-                        self.taken.push(Event::Opened(link, from));
+                        self.taken.push(Event::DownstreamOpened(link, from));
                     }
                     Word::Event(event) => {
                         match event {
-                            Event::Said(link, _) => {
+                            Event::DownstreamMessage(link, _) => {
                                 if let Some((_, heard)) = self.viewers.get_mut(&link) {
                                     *heard += 1;
                                 }
                             }
-                            Event::Closed(link, _) => closed.push(link),
-                            Event::Down(trunk, ..) => drop(self.nodes.remove(&trunk)),
+                            Event::DownstreamClosed(link, _) => closed.push(link),
+                            Event::UpstreamClosed(trunk, ..) => drop(self.nodes.remove(&trunk)),
                             _ => {}
                         }
                         self.taken.push(event);
                     }
                 }
             }
-            for action in self.board.turn(self.clock.now(), std::mem::take(&mut self.taken)) {
+            for action in self.board.process(self.clock.now(), std::mem::take(&mut self.taken)) {
                 self.act(action);
             }
             // Those had their last words in this turn.
             for link in closed {
                 self.viewers.remove(&link);
             }
-            if self.board.has_ended(self.clock.now()) {
+            if self.board.is_drained(self.clock.now()) {
                 info!("nothing is owed any longer: ended as planned");
                 return self.close().await;
             }
@@ -187,45 +187,45 @@
     /// What was written last is on its way before the process ends.
     async fn close(self) {
         let Descriptors { nodes, .. } = self.descriptors;
-        let [_, all] = self.board.descriptors();
+        let [_, all] = self.board.descriptor_limits();
         drop((self.viewers, self.nodes));
         let _ = tokio::time::timeout(LAST, nodes.acquire_many(all as u32)).await;
     }
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::ToViewer(link, line) => {
+            Action::SendDownstream(link, line) => {
                 if let Some(unread) = order(self.viewers.get(&link).map(|(sender, _)| sender), line) {
                     debug!(link = link.0, "does not read; let go");
                     self.viewers.remove(&link);
-                    self.taken.push(Event::Unread(link, unread));
+                    self.taken.push(Event::DownstreamUndelivered(link, unread));
                 }
             }
-            Action::LastToViewer(link, line) => {
+            Action::SendDownstreamAfterClose(link, line) => {
                 if let Some((connection, _)) = self.viewers.get(&link) {
                     let _ = connection.try_send(Order::Last(line));
                 }
             }
-            Action::CloseViewer(link) => drop(self.viewers.remove(&link)),
-            Action::CloseIfQuiet(link) => {
+            Action::CloseDownstream(link) => drop(self.viewers.remove(&link)),
+            Action::CloseDownstreamIfIdle(link) => {
                 if let Some((connection, heard)) = self.viewers.get(&link) {
                     let _ = connection.try_send(Order::CloseIfQuiet(*heard));
                 }
             }
-            Action::Dial(trunk, address) => {
-                let (sender, orders) = mpsc::channel(self.board.queue());
+            Action::ConnectUpstream(trunk, address) => {
+                let (sender, orders) = mpsc::channel(self.board.max_queued_lines());
                 self.nodes.insert(trunk, sender);
                 let (descriptors, words) = (self.descriptors.nodes.clone(), self.words.0.clone());
                 tokio::spawn(nodes::serve(trunk, address, self.dial_timeout, descriptors, orders, words));
             }
-            Action::ToNode(trunk, line) => {
+            Action::SendUpstream(trunk, line) => {
                 if let Some(unread) = order(self.nodes.get(&trunk), line) {
                     debug!(trunk = trunk.0, "does not read; let go");
                     self.nodes.remove(&trunk);
-                    self.taken.push(Event::Untaken(trunk, unread));
+                    self.taken.push(Event::UpstreamUndelivered(trunk, unread));
                 }
             }
-            Action::HangUp(trunk) => drop(self.nodes.remove(&trunk)),
+            Action::CloseUpstream(trunk) => drop(self.nodes.remove(&trunk)),
         }
     }
 
--- a/crates/platform-director/src/lib.rs
+++ b/crates/platform-director/src/lib.rs
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use ashglade_platform::{Board, Config, Event};
+use ashglade_platform::{Config, Event, Gateway};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
@@ -39,7 +39,7 @@
 pub fn load(path: &Path) -> Result<Config, Trouble> {
     let trouble = |what: String| Trouble::Config { path: path.to_path_buf(), what };
     let text = std::fs::read_to_string(path).map_err(|e| trouble(e.to_string()))?;
-    Config::read(&text).map_err(trouble)
+    Config::parse(&text).map_err(trouble)
 }
 
 /// Serves until the process is ended from outside, or until nothing is owed any longer after a planned end was told.
@@ -53,15 +53,15 @@
     info!(name = config.name, %address, bus = %config.bus, sockets = config.limits.sockets, "serving");
 
     let clock = Clock::start();
-    let board = Board::new(&config, clock.now());
+    let board = Gateway::new(&config, clock.now());
     let (source, sources) = watch::channel(config.bus);
-    let known = config.known.clone().after(0);
+    let known = config.known_nodes.clone().events_after(0);
     let held = known.last().map_or(0, |event| event.offset);
     let names = config.site.names.clone();
-    let news = known.into_iter().map(|event| event.news(&names)).collect();
+    let news = known.into_iter().map(|event| event.into_discovery_update(&names)).collect();
     let hub = Hub::new(board, clock, dial_timeout(&config));
     let first = hub.first();
-    let _ = first.send(Event::Bus(news)).await;
+    let _ = first.send(Event::DiscoveryUpdates(news)).await;
     tokio::spawn(bus::follow(sources, held, names, first.clone()));
     tokio::spawn(hub.accept(listener));
     // A task like the connections': it takes its turn among them.
@@ -75,7 +75,7 @@
             () = sleep_until(reading.map_or_else(Instant::now, |(at, _)| at)), if reading.is_some() => {
                 reading = match (load(path), reading) {
                     (Ok(new), _) => {
-                        let waits = new.waits_for_a_restart(&config);
+                        let waits = new.fields_requiring_restart(&config);
                         info!(bus = %new.bus, "configuration read anew");
                         if !waits.is_empty() {
                             warn!(fields = waits.join(", "), "read anew, but in force from the next start on");
@@ -104,7 +104,7 @@
                 info!("a planned end is near");
                 let first = first.clone();
                 // The hub must go on taking events while this one waits for room.
-                tokio::spawn(async move { first.send(Event::Stopping).await });
+                tokio::spawn(async move { first.send(Event::DrainStarted).await });
             }
         }
     }
--- a/crates/platform-director/src/nodes.rs
+++ b/crates/platform-director/src/nodes.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashglade_platform::{CloseReason, Event, Message, Trunk};
+use ashglade_platform::{CloseReason, Event, Message, UpstreamId};
 use bytes::Bytes;
 use tokio::net::TcpStream;
 use tokio::sync::{Semaphore, mpsc};
@@ -23,11 +23,11 @@
         | ErrorKind::ConnectionAborted
         | ErrorKind::TimedOut
         | ErrorKind::HostUnreachable
-        | ErrorKind::NetworkUnreachable => CloseReason::NeverUp,
+        | ErrorKind::NetworkUnreachable => CloseReason::ConnectFailed,
         // No descriptor, port or memory here.
         _ => {
             warn!(%error, "no connection to a node can be begun");
-            CloseReason::Wanting
+            CloseReason::NoLocalResources
         }
     }
 }
@@ -38,7 +38,7 @@
 
 /// Connects and reads until the connection ends. Dropping the orders' sender closes it.
 pub async fn serve(
-    trunk: Trunk,
+    trunk: UpstreamId,
     address: SocketAddr,
     patience: Duration,
     descriptors: Arc<Semaphore>,
@@ -47,16 +47,20 @@
 ) {
     // One is free as soon as another connection has ended.
     let Ok(Ok(descriptor)) = timeout(patience, descriptors.acquire_owned()).await else {
-        return tell(&words, Event::Down(trunk, CloseReason::Wanting, Vec::new())).await;
+        return tell(&words, Event::UpstreamClosed(trunk, CloseReason::NoLocalResources, Vec::new())).await;
     };
     let stream = match timeout(patience, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
-        Ok(Err(error)) => return tell(&words, Event::Down(trunk, not_up(&error), Vec::new())).await,
-        Err(_) => return tell(&words, Event::Down(trunk, CloseReason::NeverUp, Vec::new())).await,
+        Ok(Err(error)) => {
+            return tell(&words, Event::UpstreamClosed(trunk, not_up(&error), Vec::new())).await;
+        }
+        Err(_) => {
+            return tell(&words, Event::UpstreamClosed(trunk, CloseReason::ConnectFailed, Vec::new())).await;
+        }
     };
-    tell(&words, Event::Up(trunk)).await;
-    let heard = |line: Bytes, _| match Message::read(&line) {
-        Ok(message) => Ok(Heard::Word(Word::Event(Event::Heard(trunk, message)))),
+    tell(&words, Event::UpstreamConnected(trunk)).await;
+    let heard = |line: Bytes, _| match Message::parse(&line) {
+        Ok(message) => Ok(Heard::Word(Word::Event(Event::UpstreamMessage(trunk, message)))),
         Err(error) => {
             info!(trunk = trunk.0, %address, %error, "what can't be read; closed");
             Err(Spoilt)
@@ -70,6 +74,6 @@
         }
     }
     drop(descriptor);
-    let reason = if end == End::Unreadable { CloseReason::Spoilt } else { CloseReason::Lost };
-    tell(&words, Event::Down(trunk, reason, unwritten)).await;
+    let reason = if end == End::Unreadable { CloseReason::ProtocolError } else { CloseReason::Lost };
+    tell(&words, Event::UpstreamClosed(trunk, reason, unwritten)).await;
 }
--- a/crates/platform/src/bus.rs
+++ b/crates/platform/src/bus.rs
@@ -22,8 +22,8 @@
 #[derive(Clone, Debug, Deserialize)]
 pub struct Batch {
     /// Events in the order of their offsets.
-    #[serde(default)]
-    pub batch: Vec<BusEvent>,
+    #[serde(default, rename = "batch")]
+    pub events: Vec<BusEvent>,
 }
 
 /// One event of the bus.
@@ -96,7 +96,7 @@
     /// Address on which the node accepts connections, if reported.
     pub address: Option<SocketAddr>,
     /// Location, model, weight and start time.
-    pub place: NodeInfo,
+    pub info: NodeInfo,
     /// The node is up and has an address: it accepts new sessions.
     pub ready: bool,
     /// The node has been removed from the fleet.
@@ -115,9 +115,9 @@
 impl Batch {
     /// Returns the events that follow the one numbered `last_offset`. After a gap only a snapshot is taken,
     /// and what follows it.
-    pub fn after(self, mut last_offset: u64) -> Vec<BusEvent> {
+    pub fn events_after(self, mut last_offset: u64) -> Vec<BusEvent> {
         let mut following = Vec::new();
-        for event in self.batch {
+        for event in self.events {
             let snapshot = event.topology.as_ref().is_some_and(|topology| topology.snapshot);
             if event.offset == last_offset + 1 || (snapshot && event.offset > last_offset) {
                 last_offset = event.offset;
@@ -130,14 +130,14 @@
 
 impl BusEvent {
     /// Converts the event. Names of zones and models become their positions in the settings' lists, `names`.
-    pub fn news(self, names: &NameTables) -> DiscoveryUpdate {
+    pub fn into_discovery_update(self, names: &NameTables) -> DiscoveryUpdate {
         let topology = self.topology.unwrap_or(Topology { snapshot: false, endpoints: Vec::new() });
         // A zone or model that the settings don't name gets an id that differs from all of theirs.
         let id = |names: &[String], name: &str| name_index(names, name).map_or(u8::MAX, |index| index as u8);
         let endpoint_update = |e: Endpoint| EndpointUpdate {
             node: node_id(&e.name),
             address: e.address,
-            place: NodeInfo {
+            info: NodeInfo {
                 zone: ZoneId(id(&names.zones, &e.zone)),
                 model: ModelId(id(&names.models, &e.model)),
                 cell: CellId(e.group),
--- a/crates/platform/src/causes.rs
+++ b/crates/platform/src/causes.rs
@@ -10,7 +10,7 @@
 /// The fleet has no room for the session.
 const NO_CAPACITY: u16 = 34;
 /// The request can't be served at present.
-pub const CONGESTED: u16 = 42;
+pub const CONGESTION: u16 = 42;
 /// The request was torn down; sent by a node after its answer: the session was interrupted.
 pub const INTERRUPTED: u16 = 41;
 /// The request is invalid.
@@ -41,7 +41,7 @@
     match answer {
         SessionResponse::Plays { .. } => NORMAL_RELEASE,
         SessionResponse::Busy { why: BusyReason::NoRoom, .. } => NO_CAPACITY,
-        SessionResponse::Busy { .. } => CONGESTED,
+        SessionResponse::Busy { .. } => CONGESTION,
         SessionResponse::TornDown => INTERRUPTED,
     }
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -19,7 +19,7 @@
     /// Resources that the process may use.
     pub limits: Limits,
     /// Events with the media nodes that are known at start.
-    pub known: Batch,
+    pub known_nodes: Batch,
     /// The settings, in parsed form.
     pub site: DirectorSettings,
     /// Text of the settings, kept to detect changes.
@@ -52,7 +52,7 @@
 
 impl Config {
     /// Parses the configuration. An error names the field and the value at fault.
-    pub fn read(text: &str) -> Result<Config, String> {
+    pub fn parse(text: &str) -> Result<Config, String> {
         let json = &mut serde_json::Deserializer::from_str(text);
         let raw: RawConfig =
             serde_path_to_error::deserialize(&mut *json).map_err(|e| ashglade_site::describe_error(&e))?;
@@ -67,14 +67,14 @@
         }
         let site = ashglade_site::parse(seed, raw.settings.get().as_bytes())?;
         let settings = raw.settings.get().into();
-        let RawConfig { name, listen, bus, limits, known_nodes: known, .. } = raw;
-        Ok(Config { name, listen, bus, limits, known, site, settings })
+        let RawConfig { name, listen, bus, limits, known_nodes, .. } = raw;
+        Ok(Config { name, listen, bus, limits, known_nodes, site, settings })
     }
 
     /// Names the fields that differ from the `current` configuration and take effect only after a restart.
     /// The node list is not among them, as its changes come by the event bus; nor is the seed, which is drawn
     /// anew for each start.
-    pub fn waits_for_a_restart(&self, current: &Config) -> Vec<&'static str> {
+    pub fn fields_requiring_restart(&self, current: &Config) -> Vec<&'static str> {
         let differ = [
             ("name", self.name != current.name),
             ("listen", self.listen != current.listen),
--- a/crates/platform/src/equivalence_tests.rs
+++ b/crates/platform/src/equivalence_tests.rs
@@ -128,8 +128,8 @@
     harness.advance(500.0).request_session(1, 3);
     let through_gateway = decisions(&(trace + &harness.take_trace()));
 
-    // DirectHost into the module.
-    let config = Config::read(CONFIG).unwrap();
+    // By direct calls.
+    let config = Config::parse(CONFIG).unwrap();
     let [a, b, c] = ["a", "b", "c"].map(node_id);
     let names = BTreeMap::from([(a, "a"), (b, "b"), (c, "c")]);
     let now = Instant::from_ms(1e9 + 100.0);
@@ -152,8 +152,12 @@
     };
     host.round(&mut director, |round| {
         round.begin_list_snapshot();
-        for event in config.known.clone().after(0) {
-            event.news(&config.site.names).nodes.iter().for_each(|e| round.node_ready(e.node, e.place));
+        for event in config.known_nodes.clone().events_after(0) {
+            event
+                .into_discovery_update(&config.site.names)
+                .nodes
+                .iter()
+                .for_each(|e| round.node_ready(e.node, e.info));
         }
         round.finish_list();
         round.session_handed_over(SessionId(0xa0), request(0.0), a);
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -20,21 +20,21 @@
 use bytes::Bytes;
 use tracing::{debug, trace, warn};
 
-use crate::ask::{self, SetupRequest};
 use crate::bus::{DiscoveryUpdate, node_id};
 use crate::causes;
 use crate::config::Config;
 use crate::message::{self, Message, Tag, Verb};
 use crate::resource_limits::ResourceLimits;
+use crate::setup_request::{self, SetupRequest};
 use crate::upstream::{NodeState, UpstreamConnection};
 
 /// Identifies a viewer's connection. Assigned by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Link(pub u64);
+pub struct DownstreamId(pub u64);
 
 /// Identifies a connection to a media node. Assigned by the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Trunk(pub u64);
+pub struct UpstreamId(pub u64);
 
 /// Why a connection to a node ended.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -43,16 +43,16 @@
     Refused,
     /// The connection was not established, for any reason but a refusal: a timeout, a reset, an unreachable
     /// host.
-    NeverUp,
+    ConnectFailed,
     /// The established connection was closed or reset.
     Lost,
     /// A line could not be parsed, so nothing that is open on the connection can be trusted any longer.
-    Spoilt,
+    ProtocolError,
     /// This side gave the connection up: its node may be stalled or has restarted, it takes no more lines, or
     /// it is unused and its descriptor is needed.
-    Silent,
+    Abandoned,
     /// This process had no descriptor, port or memory for the connection. Says nothing about the node.
-    Wanting,
+    NoLocalResources,
 }
 
 /// Prints the label that logs use for the reason.
@@ -60,60 +60,60 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             CloseReason::Refused => "Refused",
-            CloseReason::NeverUp => "NeverUp",
+            CloseReason::ConnectFailed => "NeverUp",
             CloseReason::Lost => "Lost",
-            CloseReason::Spoilt => "Spoilt",
-            CloseReason::Silent => "Silent",
-            CloseReason::Wanting => "Wanting",
+            CloseReason::ProtocolError => "Spoilt",
+            CloseReason::Abandoned => "Silent",
+            CloseReason::NoLocalResources => "Wanting",
         })
     }
 }
 
-/// Input to [`Board::turn`].
+/// Input to [`Gateway::process`].
 #[derive(Debug)]
 pub enum Event {
     /// A viewer connected from this address.
-    Opened(Link, IpAddr),
+    DownstreamOpened(DownstreamId, IpAddr),
     /// A viewer sent a message.
-    Said(Link, Message),
+    DownstreamMessage(DownstreamId, Message),
     /// A viewer's connection ended; the lines were not written, so the viewer can't have read them.
-    Closed(Link, Vec<Bytes>),
+    DownstreamClosed(DownstreamId, Vec<Bytes>),
     /// A line could not be queued, because the connection's queue is full or the connection has ended.
-    Unread(Link, Bytes),
+    DownstreamUndelivered(DownstreamId, Bytes),
     /// A connection to a node was established.
-    Up(Trunk),
+    UpstreamConnected(UpstreamId),
     /// A node sent a message.
-    Heard(Trunk, Message),
+    UpstreamMessage(UpstreamId, Message),
     /// A connection to a node ended or was not established; the lines were not written. Reported exactly once
-    /// for each [`Action::Dial`].
-    Down(Trunk, CloseReason, Vec<Bytes>),
+    /// for each [`Action::ConnectUpstream`].
+    UpstreamClosed(UpstreamId, CloseReason, Vec<Bytes>),
     /// A line could not be queued, because the connection's queue is full or the connection has ended.
-    Untaken(Trunk, Bytes),
+    UpstreamUndelivered(UpstreamId, Bytes),
     /// New events of the event bus.
-    Bus(Vec<DiscoveryUpdate>),
+    DiscoveryUpdates(Vec<DiscoveryUpdate>),
     /// A planned shutdown is near: health checks fail from here on, while new requests are still served.
-    Stopping,
+    DrainStarted,
 }
 
-/// Output of [`Board::turn`].
+/// Output of [`Gateway::process`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a line to a viewer.
-    ToViewer(Link, Bytes),
+    SendDownstream(DownstreamId, Bytes),
     /// Send a line to a viewer that has closed the connection, in case it closed only its sending half and
     /// still reads.
-    LastToViewer(Link, Bytes),
+    SendDownstreamAfterClose(DownstreamId, Bytes),
     /// Close a viewer's connection.
-    CloseViewer(Link),
+    CloseDownstream(DownstreamId),
     /// Close a viewer's connection unless something has been received on it meanwhile. It counts as open
     /// until its close is reported.
-    CloseIfQuiet(Link),
+    CloseDownstreamIfIdle(DownstreamId),
     /// Connect to a node.
-    Dial(Trunk, SocketAddr),
+    ConnectUpstream(UpstreamId, SocketAddr),
     /// Send a line to a node.
-    ToNode(Trunk, Bytes),
+    SendUpstream(UpstreamId, Bytes),
     /// Close a connection to a node.
-    HangUp(Trunk),
+    CloseUpstream(UpstreamId),
 }
 
 /// Time between the first health check that passes, or the first request, and the engine's first round.
@@ -131,7 +131,7 @@
 const ANSWER_MARGIN_MS: f64 = 20.0;
 /// Maximum number of queued SETUP requests handled in one call, so that closes and cancellations are
 /// processed between the requests of a flood.
-const MAX_SETUPS_PER_TURN: usize = 32;
+const MAX_SETUPS_PER_CALL: usize = 32;
 /// Time that a release notice is kept for a client without a connection.
 const RELEASE_NOTICE_TTL_SECONDS: f64 = 8.0;
 /// Descriptors that the process needs for itself: standard streams, the runtime, the listener, and the event
@@ -147,14 +147,14 @@
     pub rung: Rung,
     pub deadline: Instant,
     /// The connection on which the SETUP was sent, and when; `None` while it waits for a connection.
-    pub sent: Option<(Trunk, Instant)>,
+    pub sent: Option<(UpstreamId, Instant)>,
 }
 
 /// A session from its request to its end.
 pub(crate) struct SessionState {
     pub tag: Tag,
     /// The connection on which the session was requested.
-    pub downstream: Link,
+    pub downstream: DownstreamId,
     pub client: IpAddr,
     /// Contents of the session's SETUPs; `None` once it plays.
     pub request: Option<Box<SetupRequest>>,
@@ -195,7 +195,7 @@
 /// A SETUP request that has not been passed to the engine yet.
 struct QueuedSetup {
     received_at: Instant,
-    downstream: Link,
+    downstream: DownstreamId,
     tag: Tag,
     message: Message,
 }
@@ -205,12 +205,12 @@
     created_at: Instant,
     client: IpAddr,
     /// The connection on which it was sent; `None` while the client has no connection.
-    downstream: Option<Link>,
+    downstream: Option<DownstreamId>,
     line: Bytes,
 }
 
 /// Connects viewers' connections, the engine and nodes' connections. See the [module documentation](self).
-pub struct Board {
+pub struct Gateway {
     pub(crate) site: DirectorSettings,
     engine_config: EngineConfig,
     pub(crate) limits: ResourceLimits,
@@ -223,26 +223,26 @@
     pub(crate) session_by_tag: BTreeMap<Tag, SessionId>,
     next_session: u64,
     setup_queue: VecDeque<QueuedSetup>,
-    downstreams: BTreeMap<Link, DownstreamConnection>,
+    downstreams: BTreeMap<DownstreamId, DownstreamConnection>,
     /// Descriptors available to connections of viewers and of nodes.
     descriptor_limits: [usize; 2],
     release_notices: VecDeque<ReleaseNotice>,
     pub(crate) nodes: BTreeMap<NodeId, NodeState>,
-    pub(crate) upstreams: BTreeMap<Trunk, UpstreamConnection>,
+    pub(crate) upstreams: BTreeMap<UpstreamId, UpstreamConnection>,
     pub(crate) next_upstream: u64,
     pub(crate) next_health_check: u64,
     /// Connections to nodes that this side closed, until their end is reported.
-    pub(crate) closing_upstreams: BTreeMap<Trunk, NodeId>,
+    pub(crate) closing_upstreams: BTreeMap<UpstreamId, NodeId>,
     /// Sent SETUPs that were cancelled and that the node may still start, oldest first.
     pub(crate) cancelled_setups: VecDeque<(NodeId, Tag)>,
     next_check_at: Instant,
     drain_started_at: Option<Instant>,
 }
 
-impl Board {
+impl Gateway {
     /// Creates a gateway without connections. The engine starts after the first passed health check or
     /// request.
-    pub fn new(config: &Config, now: Instant) -> Board {
+    pub fn new(config: &Config, now: Instant) -> Gateway {
         let site = config.site.clone();
         let limits = ResourceLimits::of(config.limits.memory_mb);
         let descriptors = config.limits.sockets.saturating_sub(RESERVED_DESCRIPTORS).max(2);
@@ -253,7 +253,7 @@
             max_sessions: limits.sessions,
             admission: None,
         };
-        Board {
+        Gateway {
             engine_config,
             limits,
             engine: None,
@@ -285,19 +285,19 @@
     }
 
     /// Returns the maximum number of lines that may be queued on one connection.
-    pub fn queue(&self) -> usize {
+    pub fn max_queued_lines(&self) -> usize {
         self.limits.queued_lines
     }
 
     /// Returns the maximum numbers of descriptors for connections of viewers and of nodes, including
     /// connections that are being closed.
-    pub fn descriptors(&self) -> [usize; 2] {
+    pub fn descriptor_limits(&self) -> [usize; 2] {
         self.descriptor_limits
     }
 
     /// Returns whether a drain has finished: no more requests arrive, no session is left, and no line is owed
     /// to anyone.
-    pub fn has_ended(&self, now: Instant) -> bool {
+    pub fn is_drained(&self, now: Instant) -> bool {
         let grace_over =
             self.drain_started_at.is_some_and(|at| now - at > Span::from_secs(DRAIN_GRACE_SECONDS));
         let owed = self.release_notices.iter().any(|notice| notice.downstream.is_none());
@@ -313,8 +313,8 @@
         [self.sessions.len(), self.downstreams.len(), self.nodes.len(), self.upstreams.len()]
     }
 
-    /// Returns when [`Board::turn`] must be called next, even if no event occurs.
-    pub fn next_due(&self) -> Instant {
+    /// Returns when [`Gateway::process`] must be called next, even if no event occurs.
+    pub fn next_deadline(&self) -> Instant {
         let engine = self.engine.as_ref().and_then(Engine::next_deadline);
         let queued = self.setup_queue.front().map(|setup| setup.received_at);
         [Some(self.next_check_at), self.engine_start_at, queued, engine]
@@ -325,18 +325,18 @@
     }
 
     /// Handles events in their order and then everything that is due, and returns what is to be done.
-    pub fn turn(&mut self, now: Instant, events: impl IntoIterator<Item = Event>) -> Vec<Action> {
+    pub fn process(&mut self, now: Instant, events: impl IntoIterator<Item = Event>) -> Vec<Action> {
         // New upstream connections are handled last: they send what waits for them, and a viewer that leaves
         // in the same call needs nothing sent.
         let mut connected = Vec::new();
         for event in events {
             match event {
-                Event::Up(upstream) => connected.push(upstream),
+                Event::UpstreamConnected(upstream) => connected.push(upstream),
                 event => self.handle_event(now, event),
             }
         }
         connected.into_iter().for_each(|upstream| self.upstream_connected(now, upstream));
-        for _ in 0..MAX_SETUPS_PER_TURN {
+        for _ in 0..MAX_SETUPS_PER_CALL {
             let Some(setup) = self.setup_queue.pop_front() else { break };
             self.handle_setup(now, setup);
         }
@@ -363,19 +363,21 @@
 
     fn handle_event(&mut self, now: Instant, event: Event) {
         match event {
-            Event::Opened(downstream, client) => self.downstream_opened(now, downstream, client),
-            Event::Said(downstream, message) => self.downstream_message(now, downstream, message),
-            Event::Closed(downstream, unwritten) => {
+            Event::DownstreamOpened(downstream, client) => self.downstream_opened(now, downstream, client),
+            Event::DownstreamMessage(downstream, message) => {
+                self.downstream_message(now, downstream, message)
+            }
+            Event::DownstreamClosed(downstream, unwritten) => {
                 self.downstream_closed(downstream);
                 unwritten.into_iter().for_each(|line| self.downstream_undelivered(now, downstream, line));
             }
-            Event::Unread(downstream, line) => {
+            Event::DownstreamUndelivered(downstream, line) => {
                 self.downstream_closed(downstream);
                 self.downstream_undelivered(now, downstream, line);
             }
-            Event::Up(upstream) => self.upstream_connected(now, upstream),
-            Event::Heard(upstream, message) => self.upstream_message(now, upstream, message),
-            Event::Down(upstream, reason, unwritten) => {
+            Event::UpstreamConnected(upstream) => self.upstream_connected(now, upstream),
+            Event::UpstreamMessage(upstream, message) => self.upstream_message(now, upstream, message),
+            Event::UpstreamClosed(upstream, reason, unwritten) => {
                 let node = self.upstreams.get(&upstream).map(|connection| connection.node);
                 self.closing_upstreams.extend(node.map(|node| (upstream, node)));
                 // Unwritten lines are queued first, as they decide whether another connection is needed.
@@ -383,14 +385,14 @@
                 self.upstream_closed(now, upstream, reason);
                 self.closing_upstreams.remove(&upstream);
             }
-            Event::Untaken(upstream, line) => {
+            Event::UpstreamUndelivered(upstream, line) => {
                 self.abandon_upstream(now, upstream);
                 self.upstream_undelivered(now, upstream, vec![line]);
             }
-            Event::Bus(updates) => {
+            Event::DiscoveryUpdates(updates) => {
                 updates.into_iter().for_each(|update| self.apply_discovery_update(now, update))
             }
-            Event::Stopping => self.drain_started_at = self.drain_started_at.or(Some(now)),
+            Event::DrainStarted => self.drain_started_at = self.drain_started_at.or(Some(now)),
         }
     }
 
@@ -407,7 +409,7 @@
             Effect::ReleaseSession { session } => self.release_session(now, session),
             Effect::ReconnectViewer { session } => {
                 let tag = self.sessions.get(&session).map(|state| state.tag);
-                if let Some(line) = tag.and_then(|tag| message::write(Verb::Move, tag, &[], None, None)) {
+                if let Some(line) = tag.and_then(|tag| message::encode(Verb::Move, tag, &[], None, None)) {
                     self.send_to_viewer(session, line);
                 }
                 self.release_session(now, session);
@@ -420,7 +422,7 @@
 
     // Viewers' connections
 
-    fn downstream_opened(&mut self, now: Instant, downstream: Link, client: IpAddr) {
+    fn downstream_opened(&mut self, now: Instant, downstream: DownstreamId, client: IpAddr) {
         // A tenth of the descriptors is left for connections that are being closed, and for new ones while
         // all others are in use.
         let max_open = (self.descriptor_limits[0] * 9 / 10).max(1);
@@ -430,7 +432,7 @@
             let unused = self.downstreams.iter().filter(|(_, c)| c.is_unused() && !c.closing);
             let evicted = unused.min_by_key(|(_, c)| (c.useful, c.opened_at)).map(|(&id, c)| (id, c.useful));
             match evicted {
-                None => return self.actions.push(Action::CloseViewer(downstream)),
+                None => return self.actions.push(Action::CloseDownstream(downstream)),
                 Some((evicted, true)) => self.close_downstream_if_idle(evicted),
                 Some((evicted, false)) => self.close_downstream(evicted),
             }
@@ -449,28 +451,28 @@
         self.release_notices.iter_mut().filter(|n| n.downstream.is_none() && n.client == client).for_each(
             |notice| {
                 notice.downstream = Some(downstream);
-                self.actions.push(Action::ToViewer(downstream, notice.line.clone()));
+                self.actions.push(Action::SendDownstream(downstream, notice.line.clone()));
             },
         );
     }
 
     /// Closes a connection unless a request is already on its way. The viewer has to repeat a request only if
     /// it is sent in the very moment of the close.
-    fn close_downstream_if_idle(&mut self, downstream: Link) {
+    fn close_downstream_if_idle(&mut self, downstream: DownstreamId) {
         if let Some(connection) = self.downstreams.get_mut(&downstream) {
             connection.closing = true;
         }
-        self.actions.push(Action::CloseIfQuiet(downstream));
+        self.actions.push(Action::CloseDownstreamIfIdle(downstream));
     }
 
-    fn close_downstream(&mut self, downstream: Link) {
-        self.actions.push(Action::CloseViewer(downstream));
+    fn close_downstream(&mut self, downstream: DownstreamId) {
+        self.actions.push(Action::CloseDownstream(downstream));
         self.downstream_closed(downstream);
     }
 
     /// Cancels the unanswered requests of a closed connection, and sends their releases in case the viewer
     /// closed only its sending half. Playing sessions continue.
-    fn downstream_closed(&mut self, downstream: Link) {
+    fn downstream_closed(&mut self, downstream: DownstreamId) {
         let Some(connection) = self.downstreams.remove(&downstream) else { return };
         let mut cancelled = Vec::new();
         if connection.queued_setups > 0 {
@@ -478,28 +480,28 @@
                 self.setup_queue
                     .iter()
                     .filter(|s| s.downstream == downstream)
-                    .map(|s| (s.tag, causes::CONGESTED)),
+                    .map(|s| (s.tag, causes::CONGESTION)),
             );
             self.setup_queue.retain(|setup| setup.downstream != downstream);
         }
         for session in connection.pending {
             let release = |state: &SessionState| {
-                (state.tag, if state.setup_sent { causes::INTERRUPTED } else { causes::CONGESTED })
+                (state.tag, if state.setup_sent { causes::INTERRUPTED } else { causes::CONGESTION })
             };
             cancelled.extend(self.sessions.get(&session).map(release));
             self.viewer_left(session);
         }
         for (tag, cause) in cancelled {
-            let line = message::write(Verb::Finish, tag, &[], Some(cause), None);
-            self.actions.extend(line.map(|line| Action::LastToViewer(downstream, line)));
+            let line = message::encode(Verb::Finish, tag, &[], Some(cause), None);
+            self.actions.extend(line.map(|line| Action::SendDownstreamAfterClose(downstream, line)));
         }
     }
 
     /// Handles a line that its viewer has not read. If it is an answer, the viewer does not know the session,
     /// which must not be left playing at its node. If it is a release, it is sent again on another
     /// connection.
-    fn downstream_undelivered(&mut self, now: Instant, downstream: Link, line: Bytes) {
-        let message = Message::read(&line).ok();
+    fn downstream_undelivered(&mut self, now: Instant, downstream: DownstreamId, line: Bytes) {
+        let message = Message::parse(&line).ok();
         if let Some(session) = message
             .filter(|message| message.verb == Verb::Started)
             .and_then(|message| self.session_by_tag.get(&message.tag?).copied())
@@ -520,7 +522,7 @@
         }
     }
 
-    fn downstream_message(&mut self, now: Instant, downstream: Link, message: Message) {
+    fn downstream_message(&mut self, now: Instant, downstream: DownstreamId, message: Message) {
         let Some(connection) = self.downstreams.get_mut(&downstream) else { return };
         connection.closing = false;
         trace!(link = downstream.0, ?message, "received from a viewer");
@@ -538,9 +540,14 @@
                 if passed == 1 {
                     self.schedule_engine_start(now);
                 }
-                let line =
-                    message::write(Verb::Echoed, tag.unwrap_or(Tag::from_number(0)), &[], Some(passed), None);
-                self.actions.extend(line.map(|line| Action::ToViewer(downstream, line)));
+                let line = message::encode(
+                    Verb::Echoed,
+                    tag.unwrap_or(Tag::from_number(0)),
+                    &[],
+                    Some(passed),
+                    None,
+                );
+                self.actions.extend(line.map(|line| Action::SendDownstream(downstream, line)));
             }
             (Verb::Pending | Verb::Finished, _) => {}
             _ => {
@@ -560,23 +567,23 @@
         }
     }
 
-    fn mark_useful(&mut self, now: Instant, downstream: Link) {
+    fn mark_useful(&mut self, now: Instant, downstream: DownstreamId) {
         if let Some(connection) = self.downstreams.get_mut(&downstream) {
             (connection.useful, connection.idle_since) = (true, now);
         }
     }
 
-    fn refuse(&mut self, downstream: Link, tag: Tag, cause: u16) {
-        let line = message::write(Verb::Finish, tag, &[], Some(cause), None);
-        self.actions.extend(line.map(|line| Action::ToViewer(downstream, line)));
+    fn refuse(&mut self, downstream: DownstreamId, tag: Tag, cause: u16) {
+        let line = message::encode(Verb::Finish, tag, &[], Some(cause), None);
+        self.actions.extend(line.map(|line| Action::SendDownstream(downstream, line)));
     }
 
     /// Queues a SETUP request behind those of other viewers. While it is queued, its viewer may leave or
     /// cancel it.
-    fn queue_setup(&mut self, now: Instant, downstream: Link, tag: Tag, message: Message) {
+    fn queue_setup(&mut self, now: Instant, downstream: DownstreamId, tag: Tag, message: Message) {
         let Some(connection) = self.downstreams.get_mut(&downstream) else { return };
         let setup = QueuedSetup { received_at: now, downstream, tag, message };
-        if ask::is_handed_over(&setup.message) {
+        if setup_request::is_handover(&setup.message) {
             // No one waits for an answer, and the engine must know of all handovers in its first round.
             connection.queued_setups += 1;
             return self.handle_setup(now, setup);
@@ -584,7 +591,7 @@
         if connection.pending.len() + connection.queued_setups >= self.limits.pending_setups
             || self.sessions.len() + self.setup_queue.len() >= self.limits.sessions
         {
-            return self.refuse(downstream, tag, causes::CONGESTED);
+            return self.refuse(downstream, tag, causes::CONGESTION);
         }
         connection.queued_setups += 1;
         self.setup_queue.push_back(setup);
@@ -608,7 +615,7 @@
         if let Some(connection) = self.downstreams.get_mut(&downstream) {
             connection.queued_setups -= 1;
         }
-        let request = match ask::parse(&message, &self.site) {
+        let request = match setup_request::parse(&message, &self.site) {
             Ok(request) => request,
             Err(error) => {
                 debug!(%tag, trouble = %error, "refused an invalid SETUP request");
@@ -632,26 +639,27 @@
             }
             return;
         }
-        let mut want = request.want;
+        let mut viewer_request = request.viewer_request;
         // The viewer's timeout runs from the arrival of the request, also while the engine's start is
         // pending.
         let until_engine_start = self.engine_start_at.map_or(Span::ZERO, |start| start - now);
-        want.setup_timeout = want.setup_timeout - until_engine_start - (now - received_at);
-        if want.setup_timeout <= Span::from_ms(ANSWER_MARGIN_MS) {
+        viewer_request.setup_timeout =
+            viewer_request.setup_timeout - until_engine_start - (now - received_at);
+        if viewer_request.setup_timeout <= Span::from_ms(ANSWER_MARGIN_MS) {
             // Too late for a SETUP; none has been sent.
-            return self.refuse(downstream, tag, causes::CONGESTED);
+            return self.refuse(downstream, tag, causes::CONGESTION);
         }
         let Some(session) = self.create_session(now, downstream, tag, Some(Box::new(request)), None) else {
             return;
         };
-        self.inputs.push(Input::SessionRequested { session, request: want });
+        self.inputs.push(Input::SessionRequested { session, request: viewer_request });
     }
 
     /// Creates a session that awaits its answer, or one that already plays if `playing_at` is given.
     fn create_session(
         &mut self,
         now: Instant,
-        downstream: Link,
+        downstream: DownstreamId,
         tag: Tag,
         request: Option<Box<SetupRequest>>,
         playing_at: Option<(NodeId, Instant)>,
@@ -686,7 +694,7 @@
     fn adopt_session(
         &mut self,
         now: Instant,
-        downstream: Link,
+        downstream: DownstreamId,
         tag: Tag,
         request: &SetupRequest,
         name: &str,
@@ -697,13 +705,13 @@
             return self.refuse(downstream, tag, causes::release_cause(AttemptOutcome::Lost));
         }
         if self.sessions.len() >= self.limits.sessions {
-            return self.refuse(downstream, tag, causes::CONGESTED);
+            return self.refuse(downstream, tag, causes::CONGESTION);
         }
         self.ensure_node(now, node, name);
         let Some(session) = self.create_session(now, downstream, tag, None, Some((node, now))) else {
             return;
         };
-        self.inputs.push(Input::SessionHandedOver { session, request: request.want, node });
+        self.inputs.push(Input::SessionHandedOver { session, request: request.viewer_request, node });
         self.session_plays(now, session, node);
     }
 
@@ -728,15 +736,15 @@
         let plays = matches!(answer, SessionResponse::Plays { .. });
         let description = state.description.take();
         let line = match &description {
-            Some(text) if plays => message::write(Verb::Started, tag, &[], None, Some(text)),
-            _ => message::write(Verb::Finish, tag, &[], Some(causes::answer_cause(&answer)), None),
+            Some(text) if plays => message::encode(Verb::Started, tag, &[], None, Some(text)),
+            _ => message::encode(Verb::Finish, tag, &[], Some(causes::answer_cause(&answer)), None),
         };
         if let Some(connection) = self.downstreams.get_mut(&downstream) {
             connection.pending.remove(&session);
             connection.idle_since = now;
             connection.playing += usize::from(plays);
         }
-        self.actions.extend(line.map(|line| Action::ToViewer(downstream, line)));
+        self.actions.extend(line.map(|line| Action::SendDownstream(downstream, line)));
         self.remove_if_finished(session);
     }
 
@@ -745,13 +753,13 @@
         let Some(state) = self.sessions.get(&session) else { return };
         let (preferred, client) = (state.downstream, state.client);
         if let Some(downstream) = self.downstream_of(client, Some(preferred)) {
-            self.actions.push(Action::ToViewer(downstream, line));
+            self.actions.push(Action::SendDownstream(downstream, line));
         }
     }
 
     /// Returns the preferred connection if it is open, else another one of the client, if possible one that
     /// is not about to be closed.
-    fn downstream_of(&self, client: IpAddr, preferred: Option<Link>) -> Option<Link> {
+    fn downstream_of(&self, client: IpAddr, preferred: Option<DownstreamId>) -> Option<DownstreamId> {
         let preferred = preferred.filter(|downstream| self.downstreams.contains_key(downstream));
         let others = || self.downstreams.iter().filter(|(_, c)| c.client == client);
         preferred.or_else(|| others().min_by_key(|(_, c)| c.closing).map(|(&downstream, _)| downstream))
@@ -759,12 +767,18 @@
 
     /// Sends a release, and keeps it for a while in case it is not written. If the client has no connection,
     /// the release waits for one.
-    fn send_release_notice(&mut self, now: Instant, client: IpAddr, preferred: Option<Link>, line: Bytes) {
+    fn send_release_notice(
+        &mut self,
+        now: Instant,
+        client: IpAddr,
+        preferred: Option<DownstreamId>,
+        line: Bytes,
+    ) {
         let downstream = self.downstream_of(client, preferred);
         if let Some(id) = downstream {
-            self.actions.push(Action::ToViewer(id, line.clone()));
+            self.actions.push(Action::SendDownstream(id, line.clone()));
         }
-        if self.release_notices.len() >= self.limits.owed
+        if self.release_notices.len() >= self.limits.outstanding
             && let Some(dropped) = self.release_notices.pop_front()
             && dropped.downstream.is_none()
         {
@@ -785,7 +799,7 @@
         self.inputs.push(Input::SessionEnded { session, outcome });
         let Some(state) = self.sessions.get(&session) else { return };
         let (tag, client, downstream) = (state.tag, state.client, state.downstream);
-        let line = message::write(Verb::Finish, tag, &[], Some(causes::release_cause(outcome)), None);
+        let line = message::encode(Verb::Finish, tag, &[], Some(causes::release_cause(outcome)), None);
         if let Some(line) = line.filter(|_| notify_viewer) {
             self.send_release_notice(now, client, Some(downstream), line);
         }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -6,7 +6,6 @@
 //! because a node that receives a line it can't parse closes the connection, and with it everything else that
 //! is open there.
 
-pub mod ask;
 pub mod bus;
 pub mod causes;
 pub mod config;
@@ -14,11 +13,12 @@
 pub mod line_decoder;
 pub mod message;
 mod resource_limits;
+pub mod setup_request;
 mod upstream;
 
 pub use config::Config;
-pub use gateway::{Action, Board, CloseReason, Event, Link, Trunk};
-pub use line_decoder::Lines;
+pub use gateway::{Action, CloseReason, DownstreamId, Event, Gateway, UpstreamId};
+pub use line_decoder::LineDecoder;
 pub use message::{Message, Tag, Verb};
 pub use resource_limits::ResourceLimits;
 
--- a/crates/platform/src/line_decoder.rs
+++ b/crates/platform/src/line_decoder.rs
@@ -20,19 +20,19 @@
 
 /// Splits a byte stream into lines; the line feeds are removed.
 #[derive(Debug, Default)]
-pub struct Lines {
+pub struct LineDecoder {
     /// Number of buffered bytes that are known to hold no line feed.
     scanned_bytes: usize,
 }
 
-impl Lines {
+impl LineDecoder {
     /// Returns whether a line has begun and is not complete yet.
     pub fn has_partial_line(&self) -> bool {
         self.scanned_bytes > 0
     }
 }
 
-impl Decoder for Lines {
+impl Decoder for LineDecoder {
     type Item = Bytes;
     type Error = LineError;
 
--- a/crates/platform/src/message.rs
+++ b/crates/platform/src/message.rs
@@ -171,7 +171,7 @@
 impl Message {
     /// Parses one line. A malformed tag is read as none: whether the message can do without depends on its
     /// sender.
-    pub fn read(line: &[u8]) -> Result<Message, serde_json::Error> {
+    pub fn parse(line: &[u8]) -> Result<Message, serde_json::Error> {
         // serde would also accept a JSON array with the values in order, which the protocol does not allow.
         if line.trim_ascii_start().first().is_some_and(|&first| first != b'{') {
             return Err(serde_json::Error::custom("expected a JSON object"));
@@ -201,7 +201,7 @@
 
 /// Encodes a message as one line that ends in a line feed. Returns `None` if the line, line feed included,
 /// would exceed [`line_decoder::MAX_LINE_BYTES`].
-pub fn write(
+pub fn encode(
     verb: Verb,
     tag: Tag,
     opts: &[(&str, &str)],
--- a/crates/platform/src/resource_limits.rs
+++ b/crates/platform/src/resource_limits.rs
@@ -21,9 +21,9 @@
     /// Entries of each of these kinds: release notices owed to clients, lines queued for one node, releases
     /// that a node has not confirmed, and cancelled SETUPs that the node may still start. A session has at
     /// most one of them at a time.
-    pub owed: usize,
+    pub outstanding: usize,
     /// Lines queued on one connection: an answer or a release for each session, and as many lines that belong
-    /// to no session. All of them may be queued in one turn, for example when a zone is lost.
+    /// to no session. All of them may be queued at once, for example when a zone is lost.
     pub queued_lines: usize,
 }
 
@@ -31,12 +31,12 @@
     /// Derives the limits from the memory limit in MB.
     pub fn of(memory_mb: f64) -> ResourceLimits {
         let sessions = (memory_mb * SESSIONS_PER_MB) as usize;
-        let owed = sessions.max(MIN_LIMIT);
+        let outstanding = sessions.max(MIN_LIMIT);
         ResourceLimits {
             sessions,
             pending_setups: (sessions / MAX_PENDING_DIVISOR).max(MIN_LIMIT),
-            owed,
-            queued_lines: owed * 2,
+            outstanding,
+            queued_lines: outstanding * 2,
         }
     }
 }
--- a/crates/platform/src/ask.rs
+++ b/crates/platform/src/setup_request.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, PartialEq)]
 pub struct SetupRequest {
     /// The request in the engine's terms.
-    pub want: ViewerRequest,
+    pub viewer_request: ViewerRequest,
     /// Name of the service group, forwarded to the node.
     pub class: String,
     /// Title in hex digits, forwarded to the node.
@@ -80,7 +80,7 @@
 }
 
 /// Returns whether the message hands over a session that already plays at a node.
-pub fn is_handed_over(message: &Message) -> bool {
+pub fn is_handover(message: &Message) -> bool {
     let extras = message.opts.get("extras").map(Extras::parse);
     extras.is_some_and(|extras| extras.is_ok_and(|extras| extras.at.is_some()))
 }
@@ -120,7 +120,7 @@
     let cells = site.director.cell_count;
     let description = message.description.clone().ok_or_else(|| invalid("blob", "is missing"))?;
     Ok(SetupRequest {
-        want: ViewerRequest {
+        viewer_request: ViewerRequest {
             group: GroupId(group),
             title: TitleId(title),
             top_rung: Rung(parse_integer("top", extras.top, 0, u16::from(u8::MAX))? as u8),
--- a/crates/platform/src/tests.rs
+++ b/crates/platform/src/tests.rs
@@ -15,7 +15,10 @@
 
 use crate::bus::Batch;
 use crate::gateway::CloseReason;
-use crate::{Action, Board, Config, Event, Lines, Link, Message, Trunk, ask, line_decoder};
+use crate::{
+    Action, Config, DownstreamId, Event, Gateway, LineDecoder, Message, UpstreamId, line_decoder,
+    setup_request,
+};
 
 /// A configuration with three nodes, each in a cell of its own.
 pub const CONFIG: &str = r#"{"name": "d0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "bus": "127.0.0.1:1",
@@ -37,11 +40,11 @@
 
 /// Drives a gateway with simulated time and records a trace of its actions.
 pub struct Harness {
-    gateway: Board,
+    gateway: Gateway,
     config: Config,
     now: Instant,
     /// Names of the connections to nodes, such as `a0`.
-    upstream_names: BTreeMap<Trunk, String>,
+    upstream_names: BTreeMap<UpstreamId, String>,
     trace: String,
 }
 
@@ -60,11 +63,17 @@
     }
 
     fn with_passed_check_and_config(config: &str) -> Harness {
-        let config = Config::read(config).unwrap();
+        let config = Config::parse(config).unwrap();
         let now = Instant::from_ms(1e9);
-        let mut gateway = Board::new(&config, now);
-        let updates = config.known.clone().after(0).into_iter().map(|e| e.news(&config.site.names)).collect();
-        gateway.turn(now, [Event::Bus(updates)]);
+        let mut gateway = Gateway::new(&config, now);
+        let updates = config
+            .known_nodes
+            .clone()
+            .events_after(0)
+            .into_iter()
+            .map(|e| e.into_discovery_update(&config.site.names))
+            .collect();
+        gateway.process(now, [Event::DiscoveryUpdates(updates)]);
         let mut harness =
             Harness { gateway, config, now, upstream_names: BTreeMap::new(), trace: String::new() };
         harness
@@ -76,20 +85,20 @@
     /// Passes events to the gateway and appends its actions to the trace.
     pub fn process(&mut self, events: impl IntoIterator<Item = Event>) -> &mut Harness {
         let mut idle_closes = Vec::new();
-        for action in self.gateway.turn(self.now, events) {
+        for action in self.gateway.process(self.now, events) {
             let text = |line: &Bytes| String::from_utf8_lossy(line).trim_end().replace("00000000000000", "");
             let entry = match action {
-                Action::ToViewer(viewer, line) => format!("viewer {} < {}", viewer.0, text(&line)),
-                Action::LastToViewer(viewer, line) => {
+                Action::SendDownstream(viewer, line) => format!("viewer {} < {}", viewer.0, text(&line)),
+                Action::SendDownstreamAfterClose(viewer, line) => {
                     format!("viewer {} (closed) < {}", viewer.0, text(&line))
                 }
-                Action::CloseViewer(viewer) => format!("viewer {} closed", viewer.0),
+                Action::CloseDownstream(viewer) => format!("viewer {} closed", viewer.0),
                 // Nothing is in transit from the viewer, so the connection closes.
-                Action::CloseIfQuiet(viewer) => {
-                    idle_closes.push(Event::Closed(viewer, Vec::new()));
+                Action::CloseDownstreamIfIdle(viewer) => {
+                    idle_closes.push(Event::DownstreamClosed(viewer, Vec::new()));
                     format!("viewer {} closed", viewer.0)
                 }
-                Action::Dial(upstream, address) => {
+                Action::ConnectUpstream(upstream, address) => {
                     let name =
                         ["a", "b", "c"].get(usize::from(address.ip().to_string().as_bytes()[7] - b'1'));
                     let name = format!("{}{}", name.unwrap_or(&"?"), upstream.0);
@@ -97,10 +106,10 @@
                     self.upstream_names.insert(upstream, name);
                     entry
                 }
-                Action::ToNode(upstream, line) => {
+                Action::SendUpstream(upstream, line) => {
                     format!("node {} < {}", self.upstream_names[&upstream], text(&line))
                 }
-                Action::HangUp(upstream) => format!("close {}", self.upstream_names[&upstream]),
+                Action::CloseUpstream(upstream) => format!("close {}", self.upstream_names[&upstream]),
             };
             let _ = writeln!(self.trace, "{entry}");
         }
@@ -111,12 +120,12 @@
     }
 
     pub fn viewer_connects(&mut self, viewer: u64) -> &mut Harness {
-        self.process([Event::Opened(Link(viewer), IpAddr::from([10, 9, 9, viewer as u8]))])
+        self.process([Event::DownstreamOpened(DownstreamId(viewer), IpAddr::from([10, 9, 9, viewer as u8]))])
     }
 
     pub fn viewer_sends(&mut self, viewer: u64, line: &str) -> &mut Harness {
-        let message = Message::read(line.as_bytes()).unwrap();
-        self.process([Event::Said(Link(viewer), message)])
+        let message = Message::parse(line.as_bytes()).unwrap();
+        self.process([Event::DownstreamMessage(DownstreamId(viewer), message)])
     }
 
     /// Sends a SETUP request for a title that all nodes hold.
@@ -124,24 +133,24 @@
         self.viewer_sends(viewer, &setup_line(tag, "home:0;copies:3;top:2", "v=0"))
     }
 
-    fn upstream(&self, name: &str) -> Trunk {
+    fn upstream(&self, name: &str) -> UpstreamId {
         *self.upstream_names.iter().find(|(_, known)| *known == name).unwrap().0
     }
 
     pub fn node_connected(&mut self, name: &str) -> &mut Harness {
         let upstream = self.upstream(name);
-        self.process([Event::Up(upstream)])
+        self.process([Event::UpstreamConnected(upstream)])
     }
 
     pub fn node_disconnected(&mut self, name: &str, reason: CloseReason) -> &mut Harness {
         let upstream = self.upstream(name);
-        self.process([Event::Down(upstream, reason, Vec::new())])
+        self.process([Event::UpstreamClosed(upstream, reason, Vec::new())])
     }
 
     /// Delivers a message of a node; `rest` holds the JSON fields after the tag.
     pub fn node_sends(&mut self, name: &str, verb: &str, tag: u64, rest: &str) -> &mut Harness {
         let line = format!(r#"{{"verb":"{verb}","tag":"{tag:016x}"{rest}}}"#);
-        let event = Event::Heard(self.upstream(name), Message::read(line.as_bytes()).unwrap());
+        let event = Event::UpstreamMessage(self.upstream(name), Message::parse(line.as_bytes()).unwrap());
         self.process([event])
     }
 
@@ -149,7 +158,9 @@
     pub fn publish(&mut self, batch: &str, last_offset: u64) -> &mut Harness {
         let batch: Batch = serde_json::from_str(batch).unwrap();
         let names = self.config.site.names.clone();
-        self.process([Event::Bus(batch.after(last_offset).into_iter().map(|e| e.news(&names)).collect())])
+        self.process([Event::DiscoveryUpdates(
+            batch.events_after(last_offset).into_iter().map(|e| e.into_discovery_update(&names)).collect(),
+        )])
     }
 
     /// Advances the time from deadline to deadline. Actions are preceded in the trace by the time that has
@@ -157,7 +168,7 @@
     pub fn advance(&mut self, ms: f64) -> &mut Harness {
         let (from, until) = (self.now, self.now + Span::from_ms(ms));
         loop {
-            self.now = self.gateway.next_due().max(self.now).min(until);
+            self.now = self.gateway.next_deadline().max(self.now).min(until);
             let before = self.trace.len();
             self.process([]);
             if self.trace.len() > before {
@@ -245,7 +256,7 @@
     harness.viewer_sends(2, r#"{"verb":"FINISH","tag":"0000000000000077","opts":{},"rc":16}"#);
     harness.viewer_sends(2, r#"{"verb":"STARTED","tag":"0000000000000001","opts":{},"blob":"m=1"}"#);
     // A viewer disconnects before its answer: its SETUP is cancelled at the node.
-    harness.process([Event::Closed(Link(1), Vec::new())]).expect_trace(expect![[r#"
+    harness.process([Event::DownstreamClosed(DownstreamId(1), Vec::new())]).expect_trace(expect![[r#"
         viewer 2 closed
         viewer 1 (closed) < {"verb":"FINISH","tag":"01","opts":{},"rc":41}
         node c1 < {"verb":"FINISH","tag":"01","opts":{},"rc":16}
@@ -285,7 +296,7 @@
         node a0 < {"verb":"START","tag":"02","opts":{"class":"clip","key":"7f3a","left":"400","rung":"2"},"blob":"v=0"}
     "#]]);
     // A session that may have started there is released on the next connection.
-    harness.node_disconnected("c1", CloseReason::Spoilt).expect_trace(expect![[r#"
+    harness.node_disconnected("c1", CloseReason::ProtocolError).expect_trace(expect![[r#"
         connect b2
     "#]]);
     harness.advance(400.0).node_connected("c3").expect_trace(expect![[r#"
@@ -542,7 +553,7 @@
 #[test]
 fn a_draining_director_fails_health_checks_and_serves_requests() {
     let mut harness = Harness::started();
-    harness.node_connected("a0").process([Event::Stopping]).viewer_connects(1);
+    harness.node_connected("a0").process([Event::DrainStarted]).viewer_connects(1);
     harness
         .viewer_sends(1, r#"{"verb":"ECHO","tag":"00000000000000ee","opts":{},"rc":0}"#)
         .request_session(1, 0x01)
@@ -556,7 +567,7 @@
 
 #[test]
 fn every_field_of_a_setup_request_is_checked() {
-    let site = Config::read(CONFIG).unwrap().site;
+    let site = Config::parse(CONFIG).unwrap().site;
     let good = setup_line(1, "home:0;copies:3;top:2", "v=0");
     let swap = |from: &str, to: &str| good.replace(from, to);
     let results: String = [
@@ -575,8 +586,8 @@
         swap(",\"blob\":\"v=0\"", ""),
     ]
     .iter()
-    .map(|line| match ask::parse(&Message::read(line.as_bytes()).unwrap(), &site) {
-        Ok(request) => format!("{:?} of {}\n", request.want.title, request.class),
+    .map(|line| match setup_request::parse(&Message::parse(line.as_bytes()).unwrap(), &site) {
+        Ok(request) => format!("{:?} of {}\n", request.viewer_request.title, request.class),
         Err(error) => format!("{error}\n"),
     })
     .collect();
@@ -614,7 +625,7 @@
         r#"{"verb":"ECHO","tag":"xyz"}"#,
     ]
     .iter()
-    .map(|line| match Message::read(line.as_bytes()) {
+    .map(|line| match Message::parse(line.as_bytes()) {
         Ok(message) => format!("{message:?}\n"),
         Err(error) => format!("{error}\n"),
     })
@@ -642,7 +653,7 @@
                                                 cuts in prop::collection::vec(1usize..40, 1..40)) {
         let mut expected: Vec<&[u8]> = bytes.split(|&byte| byte == b'\n').collect();
         expected.pop();
-        let (mut decoder, mut buffer, mut decoded) = (Lines::default(), BytesMut::new(), Vec::new());
+        let (mut decoder, mut buffer, mut decoded) = (LineDecoder::default(), BytesMut::new(), Vec::new());
         let mut rest = &bytes[..];
         for &cut in cuts.iter().cycle() {
             if rest.is_empty() {
@@ -651,7 +662,7 @@
             let (now, later) = rest.split_at(cut.min(rest.len()));
             buffer.extend_from_slice(now);
             while let Some(line) = decoder.decode(&mut buffer).unwrap() {
-                let _ = Message::read(&line);
+                let _ = Message::parse(&line);
                 decoded.push(line);
             }
             prop_assert!(!buffer.contains(&b'\n'));
@@ -663,7 +674,7 @@
     /// A line is rejected as soon as it exceeds the limit, whether or not its line feed has arrived.
     #[test]
     fn a_line_too_long_is_rejected_before_its_end(over in 1usize..200, ended: bool) {
-        let mut decoder = Lines::default();
+        let mut decoder = LineDecoder::default();
         let mut buffer = BytesMut::from(&vec![b'x'; line_decoder::MAX_LINE_BYTES][..]);
         prop_assert!(decoder.decode(&mut buffer).unwrap().is_none());
         buffer.extend_from_slice(&vec![b'x'; over]);
@@ -760,11 +771,11 @@
 /// Helpers for scenarios in which several events are processed in one call, and for other configurations.
 impl Harness {
     fn viewer_message(viewer: u64, line: &str) -> Event {
-        Event::Said(Link(viewer), Message::read(line.as_bytes()).unwrap())
+        Event::DownstreamMessage(DownstreamId(viewer), Message::parse(line.as_bytes()).unwrap())
     }
 
     fn viewer_close(viewer: u64) -> Event {
-        Event::Closed(Link(viewer), Vec::new())
+        Event::DownstreamClosed(DownstreamId(viewer), Vec::new())
     }
 
     /// Like [`Harness::started`], with `from` replaced by `to` in the configuration.
@@ -784,7 +795,7 @@
             let mut harness =
                 Harness::started_with(r#""cancelling": true"#, &format!(r#""cancelling": {cancelling}"#));
             harness.node_connected("a0").viewer_connects(1).request_session(1, 0x01).take_trace();
-            let connected = Event::Up(harness.upstream("c1"));
+            let connected = Event::UpstreamConnected(harness.upstream("c1"));
             let events = if connected_first {
                 [connected, Harness::viewer_close(1)]
             } else {
@@ -830,7 +841,7 @@
     assert_eq!(entries(r#""tag":"03""#), [""; 0], "{trace}");
     // All other requests have been handled, in four calls.
     assert_eq!(harness.gateway.tally().unwrap().asked, 100);
-    assert!(harness.gateway.next_due() > harness.now);
+    assert!(harness.gateway.next_deadline() > harness.now);
 }
 
 #[test]
@@ -856,11 +867,11 @@
     harness.node_connected("a0").viewer_connects(1).request_session(1, 0x01).node_connected("c1");
     harness.node_sends("c1", "STARTED", 0x01, r#","opts":{},"blob":"m=1""#).take_trace();
     let answer = r#"{"verb":"STARTED","tag":"0000000000000001","opts":{},"blob":"m=1"}"#;
-    harness.process([Event::Closed(Link(1), vec![Bytes::from(format!("{answer}\n"))])]).expect_trace(
-        expect![[r#"
+    harness
+        .process([Event::DownstreamClosed(DownstreamId(1), vec![Bytes::from(format!("{answer}\n"))])])
+        .expect_trace(expect![[r#"
         node c1 < {"verb":"FINISH","tag":"01","opts":{},"rc":16}
-    "#]],
-    );
+    "#]]);
 }
 
 #[test]
@@ -876,8 +887,8 @@
         harness.advance(ms).take_trace();
         // A connection of another client, then two of the same client.
         harness.viewer_connects(1);
-        harness.process([Event::Opened(Link(2), IpAddr::from([10, 9, 9, 0]))]);
-        harness.process([Event::Opened(Link(3), IpAddr::from([10, 9, 9, 0]))]);
+        harness.process([Event::DownstreamOpened(DownstreamId(2), IpAddr::from([10, 9, 9, 0]))]);
+        harness.process([Event::DownstreamOpened(DownstreamId(3), IpAddr::from([10, 9, 9, 0]))]);
         harness.take_trace()
     };
     expect![[r#"
@@ -890,10 +901,13 @@
 #[test]
 fn an_unwritten_release_is_sent_on_another_connection() {
     let mut harness = Harness::started();
-    harness.node_connected("a0").process([Event::Opened(Link(1), IpAddr::from([10, 9, 9, 0]))]).take_trace();
+    harness
+        .node_connected("a0")
+        .process([Event::DownstreamOpened(DownstreamId(1), IpAddr::from([10, 9, 9, 0]))])
+        .take_trace();
     harness.node_sends("a0", "FINISH", 0xa0, r#","opts":{},"rc":16"#);
     let line = Bytes::from("{\"verb\":\"FINISH\",\"tag\":\"00000000000000a0\",\"opts\":{},\"rc\":16}\n");
-    harness.process([Event::Unread(Link(0), line)]).expect_trace(expect![[r#"
+    harness.process([Event::DownstreamUndelivered(DownstreamId(0), line)]).expect_trace(expect![[r#"
         viewer 0 < {"verb":"FINISH","tag":"a0","opts":{},"rc":16}
         viewer 1 < {"verb":"FINISH","tag":"a0","opts":{},"rc":16}
     "#]]);
@@ -915,11 +929,11 @@
         connect c2
         node a0 < {"verb":"RATE","tag":"a0","opts":{"rung":"1"}}
     "#]]);
-    harness.node_disconnected("c2", CloseReason::NeverUp).advance(800.0).expect_trace(expect![[r#"
+    harness.node_disconnected("c2", CloseReason::ConnectFailed).advance(800.0).expect_trace(expect![[r#"
         after 549 ms:
         connect c3
     "#]]);
-    harness.node_disconnected("c3", CloseReason::NeverUp).advance(1500.0).expect_trace(expect![[r#"
+    harness.node_disconnected("c3", CloseReason::ConnectFailed).advance(1500.0).expect_trace(expect![[r#"
         after 999 ms:
         connect c4
     "#]]);
@@ -966,14 +980,14 @@
 fn a_lack_of_local_descriptors_is_not_held_against_a_node() {
     let mut harness = Harness::started();
     harness.node_connected("a0").viewer_connects(1);
-    request_from_one_node(&mut harness, 1..2).node_disconnected("c1", CloseReason::Wanting).expect_trace(
-        expect![[r#"
+    request_from_one_node(&mut harness, 1..2)
+        .node_disconnected("c1", CloseReason::NoLocalResources)
+        .expect_trace(expect![[r#"
         viewer 0 < {"verb":"ECHOED","tag":"ee","opts":{},"rc":1}
         connect a0
         connect c1
         viewer 1 < {"verb":"FINISH","tag":"01","opts":{},"rc":34}
-    "#]],
-    );
+    "#]]);
     // The node is not put into slow start: all further SETUPs are sent to it.
     request_from_one_node(&mut harness, 2..8).node_connected("c2").expect_trace(expect![[r#"
         connect c2
@@ -1008,7 +1022,7 @@
 fn no_setup_is_sent_on_a_connection_established_after_the_deadline() {
     let mut harness = Harness::started();
     harness.node_connected("a0").viewer_connects(1).request_session(1, 0x01).take_trace();
-    let connected = Event::Up(harness.upstream("c1"));
+    let connected = Event::UpstreamConnected(harness.upstream("c1"));
     // The process is stalled meanwhile.
     harness.now = harness.now + Span::from_ms(3500.0);
     harness.process([connected]).expect_trace(expect![[r#"
@@ -1060,8 +1074,8 @@
     harness.now = harness.now + Span::from_ms(5300.0);
     // The close is requested while the next SETUP request is in transit.
     let now = harness.now;
-    let actions = harness.gateway.turn(now, []);
-    assert!(actions.contains(&Action::CloseIfQuiet(Link(1))));
+    let actions = harness.gateway.process(now, []);
+    assert!(actions.contains(&Action::CloseDownstreamIfIdle(DownstreamId(1))));
     harness.request_session(1, 0x02).advance(600.0);
     assert!(!harness.take_trace().contains("viewer 1 closed"));
 }
--- a/crates/platform/src/upstream.rs
+++ b/crates/platform/src/upstream.rs
@@ -18,7 +18,7 @@
 
 use crate::bus::DiscoveryUpdate;
 use crate::causes;
-use crate::gateway::{Action, Attempt, Board, CloseReason, Trunk};
+use crate::gateway::{Action, Attempt, CloseReason, Gateway, UpstreamId};
 use crate::message::{self, Message, Tag, Verb, parse_finite};
 
 /// Time without a message after which a node with playing sessions is checked. With the timeouts below, the
@@ -52,7 +52,7 @@
     /// The node list has named the node; a handed-over session may name it earlier.
     listed: bool,
     pub removed: bool,
-    upstreams: BTreeSet<Trunk>,
+    upstreams: BTreeSet<UpstreamId>,
     /// Sessions whose SETUP waits for a connection.
     waiting_setups: VecDeque<SessionId>,
     /// The engine's probes that wait for a connection.
@@ -114,7 +114,7 @@
     health_checks: BTreeMap<Tag, Option<u64>>,
 }
 
-impl Board {
+impl Gateway {
     // Events
 
     pub(crate) fn apply_discovery_update(&mut self, now: Instant, update: DiscoveryUpdate) {
@@ -125,12 +125,12 @@
         let mut nodes = Vec::with_capacity(update.nodes.len());
         for endpoint in update.nodes {
             unnamed.remove(&endpoint.node);
-            let standing = match (endpoint.ready, endpoint.removed) {
-                (true, _) => NodeStatus::Ready(endpoint.place),
+            let status = match (endpoint.ready, endpoint.removed) {
+                (true, _) => NodeStatus::Ready(endpoint.info),
                 (_, true) => NodeStatus::Gone,
                 _ => NodeStatus::Draining,
             };
-            nodes.push(NodeUpdate { node: endpoint.node, status: standing });
+            nodes.push(NodeUpdate { node: endpoint.node, status });
             let name = endpoint.name;
             let node_state = self.nodes.entry(endpoint.node).or_insert_with(|| NodeState::new(name, now));
             node_state.listed = true;
@@ -142,7 +142,7 @@
             if endpoint.removed {
                 node_state.queued_lines.clear();
             }
-            if let Some(started) = endpoint.place.started {
+            if let Some(started) = endpoint.info.started {
                 self.node_started(now, endpoint.node, started);
             }
             if needs_connection {
@@ -164,8 +164,8 @@
     fn node_started(&mut self, now: Instant, node: NodeId, started: Instant) {
         let Some(node_state) = self.nodes.get(&node) else { return };
         let predates_start =
-            |upstream: &Trunk| self.upstreams.get(upstream).is_some_and(|c| c.created_at < started);
-        let stale: Vec<Trunk> = node_state.upstreams.iter().copied().filter(predates_start).collect();
+            |upstream: &UpstreamId| self.upstreams.get(upstream).is_some_and(|c| c.created_at < started);
+        let stale: Vec<UpstreamId> = node_state.upstreams.iter().copied().filter(predates_start).collect();
         let played_before = |session: &SessionId| {
             self.sessions.get(session).and_then(|state| state.playing_at).is_some_and(|at| at.1 < started)
         };
@@ -184,7 +184,7 @@
         self.nodes.entry(node).or_insert_with(|| NodeState::new(name.to_string(), now));
     }
 
-    pub(crate) fn upstream_connected(&mut self, now: Instant, upstream: Trunk) {
+    pub(crate) fn upstream_connected(&mut self, now: Instant, upstream: UpstreamId) {
         let Some(connection) = self.upstreams.get_mut(&upstream) else { return };
         (connection.connected, connection.last_heard_at) = (true, now);
         let node = connection.node;
@@ -203,7 +203,7 @@
             .health_check_sent_at
             .take()
             .is_some_and(|at| now - at > Span::from_secs(HEALTH_CHECK_TIMEOUT_SECONDS));
-        let failed: Vec<Trunk> =
+        let failed: Vec<UpstreamId> =
             node_state.upstreams.iter().copied().filter(|&id| check_failed && id != upstream).collect();
         for (_, line) in queued_lines {
             self.send_line(now, upstream, line);
@@ -221,7 +221,7 @@
         }
     }
 
-    pub(crate) fn upstream_message(&mut self, now: Instant, upstream: Trunk, message: Message) {
+    pub(crate) fn upstream_message(&mut self, now: Instant, upstream: UpstreamId, message: Message) {
         let Some(connection) = self.upstreams.get_mut(&upstream) else { return };
         connection.last_heard_at = now;
         let node = connection.node;
@@ -361,7 +361,7 @@
         }
     }
 
-    pub(crate) fn upstream_closed(&mut self, now: Instant, upstream: Trunk, reason: CloseReason) {
+    pub(crate) fn upstream_closed(&mut self, now: Instant, upstream: UpstreamId, reason: CloseReason) {
         let Some(connection) = self.upstreams.remove(&upstream) else { return };
         let name = self.nodes.get(&connection.node).map(|node_state| &node_state.name);
         debug!(
@@ -373,7 +373,7 @@
         );
         let node = connection.node;
         if let Some(node_state) = self.nodes.get_mut(&node) {
-            let lost_after_message = matches!(reason, CloseReason::Lost | CloseReason::Spoilt)
+            let lost_after_message = matches!(reason, CloseReason::Lost | CloseReason::ProtocolError)
                 && connection.connected
                 && now - connection.last_heard_at <= Span::from_secs(RECENT_MESSAGE_SECONDS);
             if !connection.pending.is_empty() {
@@ -409,7 +409,7 @@
         }
         let Some(node_state) = self.nodes.get_mut(&node) else { return };
         node_state.upstreams.remove(&upstream);
-        if reason == CloseReason::NeverUp {
+        if reason == CloseReason::ConnectFailed {
             node_state.connect_failures = (node_state.connect_failures + 1).min(16);
         }
         if reason == CloseReason::Refused {
@@ -463,8 +463,11 @@
     /// established.
     fn fail_waiting(&mut self, node: NodeId, reason: CloseReason) {
         // Without local resources no connection was attempted.
-        let outcome =
-            if reason == CloseReason::Wanting { AttemptOutcome::Unsent } else { AttemptOutcome::Unreachable };
+        let outcome = if reason == CloseReason::NoLocalResources {
+            AttemptOutcome::Unsent
+        } else {
+            AttemptOutcome::Unreachable
+        };
         let Some(node_state) = self.nodes.get_mut(&node) else { return };
         if node_state
             .upstreams
@@ -528,7 +531,7 @@
     }
 
     /// Sends the SETUP of the session's attempt. From here on the session may start at the node.
-    fn send_setup(&mut self, now: Instant, session: SessionId, upstream: Trunk) {
+    fn send_setup(&mut self, now: Instant, session: SessionId, upstream: UpstreamId) {
         let Some(state) = self.sessions.get_mut(&session) else { return };
         let (Some(attempt), Some(request)) = (state.attempt.as_mut(), state.request.as_ref()) else { return };
         let setup = attempt.setup;
@@ -551,7 +554,7 @@
             ("left", &left_ms),
             ("rung", &rung),
         ];
-        let line = message::write(Verb::Start, state.tag, &opts, None, Some(&request.description));
+        let line = message::encode(Verb::Start, state.tag, &opts, None, Some(&request.description));
         let Some(line) = line else {
             state.attempt = None;
             return self.inputs.push(Input::SetupFailed {
@@ -567,7 +570,7 @@
             connection.pending.insert(session);
         }
         self.inputs.push(Input::SetupWritten { session, setup });
-        self.actions.push(Action::ToNode(upstream, line));
+        self.actions.push(Action::SendUpstream(upstream, line));
     }
 
     /// Cancels a SETUP and reports its outcome to the engine. With `if_unsent`, a SETUP that has been sent
@@ -596,7 +599,7 @@
         }
         self.clear_attempt(session);
         self.cancelled_setups.push_back((node, tag));
-        if self.cancelled_setups.len() > self.limits.owed {
+        if self.cancelled_setups.len() > self.limits.outstanding {
             self.cancelled_setups.pop_front();
             warn!(
                 "too many cancelled SETUPs are held; dropped the oldest, whose session is not released if it still starts"
@@ -673,10 +676,10 @@
 
     /// Returns a connection that can carry a further SETUP. If there is none, starts to connect unless that
     /// is under way or not allowed.
-    fn available_upstream(&mut self, now: Instant, node: NodeId) -> Option<Trunk> {
+    fn available_upstream(&mut self, now: Instant, node: NodeId) -> Option<UpstreamId> {
         let node_state = self.nodes.get(&node)?;
         let max_pending = self.site.max_streams_per_connection.unwrap_or(usize::MAX);
-        let has_room = |upstream: &&Trunk| {
+        let has_room = |upstream: &&UpstreamId| {
             self.upstreams.get(upstream).is_some_and(|c| c.connected && c.pending.len() < max_pending)
         };
         if let Some(&upstream) = node_state.upstreams.iter().rev().find(has_room) {
@@ -700,14 +703,14 @@
         else {
             return;
         };
-        if self.upstreams.len() >= self.descriptors()[1] {
+        if self.upstreams.len() >= self.descriptor_limits()[1] {
             self.close_unused_upstream(now);
-            if self.upstreams.len() >= self.descriptors()[1] {
+            if self.upstreams.len() >= self.descriptor_limits()[1] {
                 return;
             }
         }
         let Some(node_state) = self.nodes.get_mut(&node) else { return };
-        let upstream = Trunk(self.next_upstream);
+        let upstream = UpstreamId(self.next_upstream);
         self.next_upstream += 1;
         node_state.upstreams.insert(upstream);
         node_state.last_connect_at = now;
@@ -722,7 +725,7 @@
             health_checks: BTreeMap::new(),
         };
         self.upstreams.insert(upstream, connection);
-        self.actions.push(Action::Dial(upstream, address));
+        self.actions.push(Action::ConnectUpstream(upstream, address));
     }
 
     /// Closes the connection that has been unused for longest, if any, to free a descriptor.
@@ -743,29 +746,29 @@
         }
     }
 
-    pub(crate) fn close_on_protocol_error(&mut self, now: Instant, upstream: Trunk) {
+    pub(crate) fn close_on_protocol_error(&mut self, now: Instant, upstream: UpstreamId) {
         self.close_upstream(upstream);
-        self.upstream_closed(now, upstream, CloseReason::Spoilt);
+        self.upstream_closed(now, upstream, CloseReason::ProtocolError);
     }
 
-    pub(crate) fn abandon_upstream(&mut self, now: Instant, upstream: Trunk) {
+    pub(crate) fn abandon_upstream(&mut self, now: Instant, upstream: UpstreamId) {
         self.close_upstream(upstream);
-        self.upstream_closed(now, upstream, CloseReason::Silent);
+        self.upstream_closed(now, upstream, CloseReason::Abandoned);
     }
 
-    fn close_upstream(&mut self, upstream: Trunk) {
+    fn close_upstream(&mut self, upstream: UpstreamId) {
         if let Some(connection) = self.upstreams.get(&upstream) {
             self.closing_upstreams.insert(upstream, connection.node);
-            self.actions.push(Action::HangUp(upstream));
+            self.actions.push(Action::CloseUpstream(upstream));
         }
     }
 
     /// Queues the releases among lines that were not written before their connection ended, for another
     /// connection.
-    pub(crate) fn upstream_undelivered(&mut self, now: Instant, upstream: Trunk, lines: Vec<Bytes>) {
+    pub(crate) fn upstream_undelivered(&mut self, now: Instant, upstream: UpstreamId, lines: Vec<Bytes>) {
         let Some(&node) = self.closing_upstreams.get(&upstream) else { return };
         for line in lines {
-            let release = Message::read(&line).ok().filter(|message| message.verb == Verb::Finish);
+            let release = Message::parse(&line).ok().filter(|message| message.verb == Verb::Finish);
             if let Some(tag) = release.and_then(|message| message.tag) {
                 self.queue_release(now, node, tag);
             }
@@ -773,12 +776,12 @@
     }
 
     /// Sends a line. A release is remembered until the node confirms it.
-    fn send_line(&mut self, now: Instant, upstream: Trunk, line: Bytes) {
-        let release = Message::read(&line).ok().filter(|message| message.verb == Verb::Finish);
+    fn send_line(&mut self, now: Instant, upstream: UpstreamId, line: Bytes) {
+        let release = Message::parse(&line).ok().filter(|message| message.verb == Verb::Finish);
         if let Some(tag) = release.and_then(|message| message.tag)
             && let Some(connection) = self.upstreams.get_mut(&upstream)
         {
-            if connection.unconfirmed_releases.len() >= self.limits.owed {
+            if connection.unconfirmed_releases.len() >= self.limits.outstanding {
                 connection.unconfirmed_releases.pop_front();
                 warn!(
                     trunk = upstream.0,
@@ -787,7 +790,7 @@
             }
             connection.unconfirmed_releases.push_back((now, tag));
         }
-        self.actions.push(Action::ToNode(upstream, line));
+        self.actions.push(Action::SendUpstream(upstream, line));
     }
 
     /// Returns whether no line waits for a connection to a node.
@@ -796,15 +799,15 @@
     }
 
     /// Sends a health check, for the engine's `probe` if given.
-    fn send_health_check(&mut self, upstream: Trunk, probe: Option<u64>) {
+    fn send_health_check(&mut self, upstream: UpstreamId, probe: Option<u64>) {
         let tag = Tag::from_number(self.next_health_check);
         self.next_health_check = self.next_health_check.wrapping_add(1);
         if let Some(connection) = self.upstreams.get_mut(&upstream) {
             connection.health_checks.insert(tag, probe);
         }
         // Cause 1 asks for a load report, which costs nothing extra.
-        let line = message::write(Verb::Echo, tag, &[], Some(1), None);
-        self.actions.extend(line.map(|line| Action::ToNode(upstream, line)));
+        let line = message::encode(Verb::Echo, tag, &[], Some(1), None);
+        self.actions.extend(line.map(|line| Action::SendUpstream(upstream, line)));
     }
 
     /// Queues a release for the next connection to the node, unless the same release is queued already.
@@ -820,7 +823,7 @@
     /// Queues a line until there is a connection to the node.
     fn queue_line(&mut self, now: Instant, node: NodeId, line: Bytes) {
         let Some(node_state) = self.nodes.get_mut(&node) else { return };
-        if node_state.queued_lines.len() < self.limits.owed {
+        if node_state.queued_lines.len() < self.limits.outstanding {
             node_state.queued_lines.push_back((now, line));
         } else {
             warn!(name = node_state.name, "too many lines wait for a connection; dropped the newest");
@@ -837,10 +840,11 @@
         opts: &[(&str, &str)],
         cause: Option<u16>,
     ) {
-        let Some(line) = message::write(verb, tag, opts, cause, None) else { return };
+        let Some(line) = message::encode(verb, tag, opts, cause, None) else { return };
         let Some(node_state) = self.nodes.get_mut(&node) else { return };
-        let is_connected =
-            |upstream: &&Trunk| self.upstreams.get(upstream).is_some_and(|connection| connection.connected);
+        let is_connected = |upstream: &&UpstreamId| {
+            self.upstreams.get(upstream).is_some_and(|connection| connection.connected)
+        };
         if let Some(&upstream) = node_state.upstreams.iter().rev().find(is_connected) {
             return self.send_line(now, upstream, line);
         }
@@ -877,7 +881,7 @@
             return self.connect(now, node);
         }
         if node_state.playing.is_empty() {
-            let has_pending = |upstream: &Trunk| {
+            let has_pending = |upstream: &UpstreamId| {
                 self.upstreams.get(upstream).is_some_and(|connection| !connection.pending.is_empty())
             };
             let unlisted = !node_state.listed && node_state.queued_lines.is_empty();
@@ -904,8 +908,9 @@
             self.end_lost_sessions(now, node, now);
             return upstreams.into_iter().for_each(|upstream| self.abandon_upstream(now, upstream));
         }
-        let is_connected =
-            |upstream: &&Trunk| self.upstreams.get(upstream).is_some_and(|connection| connection.connected);
+        let is_connected = |upstream: &&UpstreamId| {
+            self.upstreams.get(upstream).is_some_and(|connection| connection.connected)
+        };
         let connected = node_state.upstreams.iter().find(is_connected).copied();
         let connecting = node_state
             .upstreams
@@ -931,7 +936,7 @@
 
 /// Encodes the release that cancels a SETUP or ends a playing session normally.
 fn encode_release(tag: Tag) -> Option<Bytes> {
-    message::write(Verb::Finish, tag, &[], Some(causes::NORMAL_RELEASE), None)
+    message::encode(Verb::Finish, tag, &[], Some(causes::NORMAL_RELEASE), None)
 }
 
 /// Parses a load report: values by the names that the settings give them, such as `x0:0.12;x1:0.4`. Unknown
