--- a/crates/platform/src/equivalence_tests.rs
+++ b/crates/platform/src/equivalence_tests.rs
@@ -1,6 +1,6 @@
-//! Guards against differences between the platform's protocol and the simulator in what the policy module is
-//! told: one scenario, run through the gateway and by direct calls as the simulator's host makes them, must
-//! give the same decisions.
+//! Guards against the policy module getting other inputs from the platform's protocol than from the
+//! simulator: one scenario, run through the gateway and by direct calls as the simulator's host makes them,
+//! must give the same decisions.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
--- a/crates/platform/src/gateway.rs
+++ b/crates/platform/src/gateway.rs
@@ -169,6 +169,7 @@
     pub answered: bool,
 }
 
+/// A viewer's connection.
 struct DownstreamConnection {
     client: IpAddr,
     opened_at: Instant,
@@ -215,7 +216,7 @@
     engine_config: EngineConfig,
     pub(crate) limits: ResourceLimits,
     engine: Option<Engine>,
-    /// When the engine starts, once that is known.
+    /// When the engine starts, once that is scheduled.
     engine_start_at: Option<Instant>,
     pub(crate) inputs: Vec<Input>,
     pub(crate) actions: Vec<Action>,
@@ -573,6 +574,7 @@
         }
     }
 
+    /// Answers a request with a release.
     fn refuse(&mut self, downstream: DownstreamId, tag: Tag, cause: u16) {
         let line = message::encode(Verb::Finish, tag, &[], Some(cause), None);
         self.actions.extend(line.map(|line| Action::SendDownstream(downstream, line)));
@@ -729,6 +731,7 @@
         self.remove_if_finished(session);
     }
 
+    /// Sends the one answer to the session's request.
     fn send_answer(&mut self, now: Instant, session: SessionId, answer: SessionResponse) {
         let Some(state) = self.sessions.get_mut(&session) else { return };
         state.answered = true;
--- a/crates/platform/src/tests.rs
+++ b/crates/platform/src/tests.rs
@@ -219,7 +219,8 @@
         node c1 < {"verb":"START","tag":"01","opts":{"class":"clip","key":"7f3a","left":"400","rung":"2"},"blob":"v=0"}
         viewer 1 < {"verb":"STARTED","tag":"01","opts":{},"blob":"m=1"}
     "#]]);
-    // The viewer ends the session: its node is told, and the node's release is not forwarded.
+    // The viewer ends the session: a release goes to its node, and the node's own release is not
+    // forwarded.
     harness.viewer_sends(1, r#"{"verb":"FINISH","tag":"0000000000000001","opts":{},"rc":16}"#);
     harness.node_sends("c1", "FINISH", 0x01, r#","opts":{},"rc":31"#);
     // The node ends the session that was handed over.
--- a/crates/platform/src/upstream.rs
+++ b/crates/platform/src/upstream.rs
@@ -117,6 +117,7 @@
 impl Gateway {
     // Events
 
+    /// Updates the nodes, and passes their status on to the engine.
     pub(crate) fn apply_discovery_update(&mut self, now: Instant, update: DiscoveryUpdate) {
         let mut unnamed: BTreeSet<NodeId> = BTreeSet::new();
         if update.snapshot {
@@ -184,6 +185,7 @@
         self.nodes.entry(node).or_insert_with(|| NodeState::new(name.to_string(), now));
     }
 
+    /// Handles an established connection: sends everything that waits for one.
     pub(crate) fn upstream_connected(&mut self, now: Instant, upstream: UpstreamId) {
         let Some(connection) = self.upstreams.get_mut(&upstream) else { return };
         (connection.connected, connection.last_heard_at) = (true, now);
@@ -221,6 +223,7 @@
         }
     }
 
+    /// Handles a node's message: answers to SETUPs, ends of sessions, health check replies and reports.
     pub(crate) fn upstream_message(&mut self, now: Instant, upstream: UpstreamId, message: Message) {
         let Some(connection) = self.upstreams.get_mut(&upstream) else { return };
         connection.last_heard_at = now;
@@ -361,6 +364,8 @@
         }
     }
 
+    /// Handles the end of a connection: fails what was pending on it, queues its unconfirmed releases, and
+    /// reconnects if needed.
     pub(crate) fn upstream_closed(&mut self, now: Instant, upstream: UpstreamId, reason: CloseReason) {
         let Some(connection) = self.upstreams.remove(&upstream) else { return };
         let name = self.nodes.get(&connection.node).map(|node_state| &node_state.name);
@@ -490,6 +495,8 @@
 
     // Effects of the engine
 
+    /// Sends the attempt's SETUP, or lets it wait for a connection. Reports it as unsent if neither is
+    /// possible.
     pub(crate) fn start_attempt(&mut self, now: Instant, session: SessionId, attempt: Attempt) {
         let (node, setup) = (attempt.node, attempt.setup);
         let Some(state) = self.sessions.get_mut(&session) else { return };
@@ -641,6 +648,7 @@
         self.remove_if_finished(session);
     }
 
+    /// Sends a probe, or lets it wait for a connection. Reports it as failed if the node has none.
     pub(crate) fn start_probe(&mut self, now: Instant, probe: u64, node: NodeId) {
         match self.available_upstream(now, node) {
             Some(upstream) => self.send_health_check(upstream, Some(probe)),
