--- a/crates/hls/src/tests.rs
+++ b/crates/hls/src/tests.rs
@@ -34,10 +34,10 @@
     tell("cut", &keys(&[1]), &signed[..signed.len() - 2], 5, 1);
     tell("nothing", &keys(&[1]), "", 5, 1);
     expect![[r#"
-        as signed: Token { sess: Sess(77), title: Title(5), group: Group(2), expires: 1000 }
+        as signed: Token { sess: SessionId(77), title: TitleId(5), group: GroupId(2), expires: 1000 }
         expired: the token has expired
         another title: the token is for another title
-        a new key before the old: Token { sess: Sess(77), title: Title(5), group: Group(2), expires: 1000 }
+        a new key before the old: Token { sess: SessionId(77), title: TitleId(5), group: GroupId(2), expires: 1000 }
         the old key is gone: the token was not signed here
         cut: the token is not well-formed
         nothing: the token is not well-formed
