--- a/crates/lab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -58,7 +58,7 @@
     write(format_args!("nodes {{ count: {nodes} model: \"small\" weight: 1 guard: true }}"));
     for trouble in &drawn.troubles {
         let (at, len) = (trouble.at / 1e6, trouble.len / 1e6);
-        let known = crate::day::Kind::from_str_name(&trouble.kind).is_some();
+        let known = crate::day::TroubleKind::from_str_name(&trouble.kind).is_some();
         if !known {
             write(format_args!("# {} at {at:.1} s has no counterpart on sockets", trouble.kind));
             continue;
--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -10,8 +10,8 @@
     include!(concat!(env!("OUT_DIR"), "/ashglade.day.rs"));
 }
 
-pub use schema::{Day, Kind};
-use schema::{Deed, Fault};
+pub use schema::{Day, Kind as TroubleKind};
+use schema::{Deed as FaultKind, Fault};
 
 use crate::net::Parties;
 
@@ -137,17 +137,17 @@
         return Err(at.trouble(&inside("from"), "is left out"));
     }
     let (from, to) = match fault.deed() {
-        Deed::NoDeed => return Err(at.trouble(&inside("deed"), "is left out")),
-        Deed::Cut => return Ok(()),
-        Deed::Kill | Deed::Stop => {
+        FaultKind::NoDeed => return Err(at.trouble(&inside("deed"), "is left out")),
+        FaultKind::Cut => return Ok(()),
+        FaultKind::Kill | FaultKind::Stop => {
             let other = fault.from.iter().position(|name| !name.starts_with("director"));
             return other.map_or(Ok(()), |k| {
                 Err(at.trouble(&inside(&format!("from[{k}]")), "only directors are killed or stopped"))
             });
         }
-        Deed::Delay | Deed::Reorder => (0.0, 60_000.0),
-        Deed::Loss | Deed::Double => (0.0, 1.0),
-        Deed::Trickle => (1.0, 1e9),
+        FaultKind::Delay | FaultKind::Reorder => (0.0, 60_000.0),
+        FaultKind::Loss | FaultKind::Double => (0.0, 1.0),
+        FaultKind::Trickle => (1.0, 1e9),
     };
     at.within(&inside("size"), fault.size, from, to).map(drop)
 }
@@ -157,19 +157,21 @@
     at.within(&field("at_s"), trouble.at_s, 0.0, 3600.0)?;
     at.within(&field("for_s"), trouble.for_s, 0.0, 3600.0)?;
     let (from, to) = match trouble.kind() {
-        Kind::Unset => return Err(at.trouble(&field("kind"), "is left out")),
-        Kind::FastErrors | Kind::Reset => (0.0, 1.0),
-        Kind::Slow | Kind::Neighbour | Kind::OriginSlow | Kind::Burst => (1.0, 100.0),
-        Kind::Ageing | Kind::SlowSetup | Kind::SetupQueue => (1.0, 60_000.0),
-        Kind::DiscoveryStale | Kind::BalancerRoll | Kind::Keeps => (0.0, 600.0),
+        TroubleKind::Unset => return Err(at.trouble(&field("kind"), "is left out")),
+        TroubleKind::FastErrors | TroubleKind::Reset => (0.0, 1.0),
+        TroubleKind::Slow | TroubleKind::Neighbour | TroubleKind::OriginSlow | TroubleKind::Burst => {
+            (1.0, 100.0)
+        }
+        TroubleKind::Ageing | TroubleKind::SlowSetup | TroubleKind::SetupQueue => (1.0, 60_000.0),
+        TroubleKind::DiscoveryStale | TroubleKind::BalancerRoll | TroubleKind::Keeps => (0.0, 600.0),
         _ => (f64::MIN, f64::MAX),
     };
     if from != f64::MIN {
         at.within(&field("size"), trouble.size, from, to)?;
     }
     let most = match trouble.kind() {
-        Kind::OriginSlow => of.1,
-        Kind::BalancerRoll | Kind::BalancerStall | Kind::PeerDown => of.2,
+        TroubleKind::OriginSlow => of.1,
+        TroubleKind::BalancerRoll | TroubleKind::BalancerStall | TroubleKind::PeerDown => of.2,
         _ => of.0,
     };
     for (k, &on) in trouble.on.iter().enumerate() {
--- a/crates/lab/src/emulator/mod.rs
+++ b/crates/lab/src/emulator/mod.rs
@@ -1,13 +1,14 @@
-//! A day in simulated time: real engines with their doors, nodes and viewers as events. Nothing of the decision or of
-//! the engine is modelled; only what lies between them and the sockets is. One seed gives one report, byte for byte.
+//! Discrete-event emulator: plays a day in simulated time with the real engines and admission controllers. Only the
+//! parts between the engine and the sockets (network, nodes, viewers) are modelled. Runs are deterministic: one seed
+//! gives one report, byte for byte.
 
-mod crowd;
+mod director;
+mod environment;
 mod nodes;
+mod peers;
 mod report;
-mod shells;
-mod talk;
-mod troubles;
+mod viewers;
 mod world;
 
-pub use report::{Group, Report, Sample};
+pub use report::{GroupReport, Report, Sample};
 pub use world::run;
--- a/crates/lab/src/emulator/nodes.rs
+++ b/crates/lab/src/emulator/nodes.rs
@@ -1,5 +1,5 @@
-//! Media nodes in simulated time: links and uplinks, places, queues of set-ups, cold starts and falls, as the nodes on
-//! sockets have them (`ashglade-standin`).
+//! Emulated media nodes: links and uplinks, stream limits, SETUP queues, cold starts and overload, with the same rules
+//! as the nodes on sockets (`ashglade-standin`).
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,225 +8,264 @@
 use ashglade_standin::node::ColdPace;
 use ashglade_standin::{Faults, Spec};
 
-/// A session at a node, by the director that holds it.
-pub type Key = (u16, SessionId);
+/// Identifies a stream at a node: the director and its session.
+pub type StreamKey = (u16, SessionId);
 
+/// One media node.
 pub struct Node {
     pub spec: Spec,
     pub up: bool,
-    pub fallen: bool,
-    /// Counts the node's processes: what was under way in an earlier one is void.
+    /// Whether the node was overloaded while cold; it stays down.
+    pub overloaded: bool,
+    /// Incremented when the process ends, which voids what an earlier process had in progress.
     pub process: u32,
     pub faults: Faults,
-    pub frozen: Option<LoadReport>,
-    started: f64,
-    setups: VecDeque<f64>,
-    /// When the last set-up in the queue will have been handled.
-    busy_until: f64,
-    /// kB a second, by session.
-    pub streams: BTreeMap<Key, f64>,
-    asked: f64,
+    /// The load that is reported instead of the current one while reports are frozen.
+    pub frozen_report: Option<LoadReport>,
+    /// Start time of the process, in seconds.
+    started_at: f64,
+    /// Times of recent SETUPs, in seconds; tracked while the node is cold.
+    recent_setups: VecDeque<f64>,
+    /// When the last SETUP in the queue will have been handled, in seconds.
+    setup_queue_ends: f64,
+    /// Rate of each stream, in kB/s.
+    pub streams: BTreeMap<StreamKey, f64>,
+    /// Sum of the rates of all streams, in kB/s.
+    demand: f64,
 }
 
-/// What a node makes of a SETUP.
+/// How a node handles a SETUP.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Handled {
-    /// Accepted, answered then.
-    Ok {
-        at: f64,
-    },
-    /// Accepted, and the answer is lost.
-    Unheard,
+pub enum SetupReply {
+    /// Accepted; the reply is sent at `done_at` (seconds).
+    Accepted { done_at: f64 },
+    /// Accepted, but the reply is lost.
+    ReplyLost,
+    /// Refused for lack of capacity.
     Full,
-    Fault,
-    Reset,
-    /// That pushed it over.
-    Fell,
+    /// Failed with an error reply.
+    ErrorReply,
+    /// The connection was reset.
+    ConnectionReset,
+    /// The SETUP overloaded the cold node and its process ended.
+    Overloaded,
 }
 
+/// All media nodes with the uplinks of their racks.
 pub struct Fleet {
-    pub all: Vec<Node>,
-    pub ladder: Vec<f64>,
+    pub nodes: Vec<Node>,
+    /// Rate of each rung, in kB/s.
+    pub rung_rates: Vec<f64>,
+    /// Capacity of each rack's uplink, in kB/s.
     pub uplinks: Vec<f64>,
-    pub cuts: Vec<f64>,
-    /// kB a second asked behind each rack's uplink, of what its links can carry.
-    behind: Vec<f64>,
-    cold: ColdPace,
+    /// By rack: the factor by which the uplink's capacity is reduced.
+    pub uplink_slowdowns: Vec<f64>,
+    /// Demand on each rack's uplink in kB/s: the sum over its nodes, each limited by the node's own link.
+    uplink_demand: Vec<f64>,
+    cold_pace: ColdPace,
     random: oorandom::Rand64,
 }
 
 impl Fleet {
-    pub fn new(specs: Vec<Spec>, uplinks: Vec<f64>, ladder: Vec<f64>, cold: ColdPace, seed: u64) -> Fleet {
+    pub fn new(
+        specs: Vec<Spec>,
+        uplinks: Vec<f64>,
+        rung_rates: Vec<f64>,
+        cold_pace: ColdPace,
+        seed: u64,
+    ) -> Fleet {
         let node = |spec| Node {
             spec,
             up: true,
-            fallen: false,
+            overloaded: false,
             process: 0,
             faults: Faults::default(),
-            frozen: None,
-            started: f64::NEG_INFINITY,
-            setups: VecDeque::new(),
-            busy_until: 0.0,
+            frozen_report: None,
+            started_at: f64::NEG_INFINITY,
+            recent_setups: VecDeque::new(),
+            setup_queue_ends: 0.0,
             streams: BTreeMap::new(),
-            asked: 0.0,
+            demand: 0.0,
         };
         Fleet {
-            all: specs.into_iter().map(node).collect(),
-            ladder,
-            cuts: vec![1.0; uplinks.len()],
-            behind: vec![0.0; uplinks.len()],
+            nodes: specs.into_iter().map(node).collect(),
+            rung_rates,
+            uplink_slowdowns: vec![1.0; uplinks.len()],
+            uplink_demand: vec![0.0; uplinks.len()],
             uplinks,
-            cold,
+            cold_pace,
             random: oorandom::Rand64::new(u128::from(seed) << 8 | 0xe7),
         }
     }
 
-    pub fn rate(&self, rung: u8) -> f64 {
-        let rung = usize::from(rung).min(self.ladder.len().saturating_sub(1));
-        self.ladder.get(rung).copied().unwrap_or(0.0)
+    /// Rate of a stream at a rung, in kB/s.
+    pub fn rung_rate(&self, rung: u8) -> f64 {
+        let rung = usize::from(rung).min(self.rung_rates.len().saturating_sub(1));
+        self.rung_rates.get(rung).copied().unwrap_or(0.0)
     }
 
-    fn link(node: &Node) -> f64 {
+    /// Capacity of the node's link under its current faults, in kB/s.
+    fn link_capacity(node: &Node) -> f64 {
         node.spec.link / node.faults.link_cut.max(1.0)
     }
 
-    /// Notes what a node's streams now ask for; `by` is added to it.
-    fn ask(&mut self, node: usize, by: f64) {
-        let node = &mut self.all[node];
-        let carried = |node: &Node| node.asked.min(Self::link(node));
-        let before = carried(node);
-        node.asked = if node.streams.is_empty() { 0.0 } else { node.asked + by };
-        let change = carried(node) - before;
-        if let Some(behind) = self.behind.get_mut(node.spec.rack) {
-            *behind += change;
+    /// Adds `by` kB/s to a node's demand and updates the demand on its rack's uplink.
+    fn adjust_demand(&mut self, node: usize, by: f64) {
+        let node = &mut self.nodes[node];
+        let carried = |node: &Node| node.demand.min(Self::link_capacity(node));
+        let carried_before = carried(node);
+        node.demand = if node.streams.is_empty() { 0.0 } else { node.demand + by };
+        let change = carried(node) - carried_before;
+        if let Some(demand) = self.uplink_demand.get_mut(node.spec.rack) {
+            *demand += change;
         }
     }
 
-    /// Changes what is wrong with a node, and what its rack's uplink is asked for with it.
-    pub fn set(&mut self, node: usize, change: impl FnOnce(&mut Faults)) {
+    /// Changes a node's faults and updates the demand on its rack's uplink.
+    pub fn change_faults(&mut self, node: usize, change: impl FnOnce(&mut Faults)) {
         let load = self.load(node);
-        let Some(at) = self.all.get_mut(node) else { return };
-        let before = at.asked.min(Self::link(at));
-        change(&mut at.faults);
-        at.frozen = at.faults.reports_frozen.then(|| at.frozen.unwrap_or(load));
-        let after = at.asked.min(Self::link(at));
-        if let Some(behind) = self.behind.get_mut(at.spec.rack) {
-            *behind += after - before;
+        let Some(node_state) = self.nodes.get_mut(node) else { return };
+        let carried_before = node_state.demand.min(Self::link_capacity(node_state));
+        change(&mut node_state.faults);
+        node_state.frozen_report =
+            node_state.faults.reports_frozen.then(|| node_state.frozen_report.unwrap_or(load));
+        let carried_after = node_state.demand.min(Self::link_capacity(node_state));
+        if let Some(demand) = self.uplink_demand.get_mut(node_state.spec.rack) {
+            *demand += carried_after - carried_before;
         }
     }
 
+    /// The load report that the node would send now.
     pub fn load(&self, node: usize) -> LoadReport {
-        let Some(node) = self.all.get(node) else { return LoadReport::default() };
-        let uplink = self.uplink_level(node.spec.rack);
+        let Some(node) = self.nodes.get(node) else { return LoadReport::default() };
+        let uplink = self.uplink_utilization(node.spec.rack);
         let streams = node.streams.len() as f64;
         let now = LoadReport {
-            link: Some(node.asked / Self::link(node)),
+            link: Some(node.demand / Self::link_capacity(node)),
             uplink: Some(uplink),
             streams: Some(streams),
         };
-        node.frozen.unwrap_or(now)
+        node.frozen_report.unwrap_or(now)
     }
 
-    fn uplink_level(&self, rack: usize) -> f64 {
+    /// Demand on the rack's uplink as a fraction of its capacity.
+    fn uplink_utilization(&self, rack: usize) -> f64 {
         let uplink = self.uplinks.get(rack).copied().unwrap_or(f64::INFINITY);
-        self.behind.get(rack).copied().unwrap_or(0.0) / (uplink / self.cuts.get(rack).copied().unwrap_or(1.0))
+        self.uplink_demand.get(rack).copied().unwrap_or(0.0)
+            / (uplink / self.uplink_slowdowns.get(rack).copied().unwrap_or(1.0))
     }
 
-    /// The share of what is due that its sessions get.
-    pub fn share(&self, node: usize) -> f64 {
-        let Some(at) = self.all.get(node) else { return 0.0 };
-        if !at.up || at.faults.hang {
+    /// The fraction of their rate that the node's streams receive.
+    pub fn delivered_share(&self, node: usize) -> f64 {
+        let Some(node_state) = self.nodes.get(node) else { return 0.0 };
+        if !node_state.up || node_state.faults.hang {
             return 0.0;
         }
-        1.0 / (at.asked / Self::link(at)).max(self.uplink_level(at.spec.rack)).max(1.0)
+        1.0 / (node_state.demand / Self::link_capacity(node_state))
+            .max(self.uplink_utilization(node_state.spec.rack))
+            .max(1.0)
     }
 
-    /// How full its link is.
-    pub fn fill(&self, node: usize) -> f64 {
-        self.all.get(node).map_or(0.0, |at| at.asked / Self::link(at))
+    /// Demand on the node's link as a fraction of its capacity.
+    pub fn link_utilization(&self, node: usize) -> f64 {
+        self.nodes.get(node).map_or(0.0, |node_state| node_state.demand / Self::link_capacity(node_state))
     }
 
-    /// A SETUP reaches a node that is up.
-    pub fn setup(&mut self, now: f64, node: usize, key: Key, rung: u8) -> Handled {
-        if self.pushed_over(now, node) {
+    /// Handles a SETUP at a node that is up.
+    pub fn handle_setup(&mut self, now: f64, node: usize, key: StreamKey, rung: u8) -> SetupReply {
+        if self.is_overloaded_by_setup(now, node) {
             self.stop(node);
-            self.all[node].fallen = true;
-            return Handled::Fell;
+            self.nodes[node].overloaded = true;
+            return SetupReply::Overloaded;
         }
-        let chance = self.random.rand_float();
-        let rate = self.rate(rung);
-        let at = &mut self.all[node];
-        let faults = &at.faults;
-        if chance < faults.resets {
-            return Handled::Reset;
+        let draw = self.random.rand_float();
+        let rate = self.rung_rate(rung);
+        let node_state = &mut self.nodes[node];
+        let faults = &node_state.faults;
+        if draw < faults.resets {
+            return SetupReply::ConnectionReset;
         }
-        if chance < faults.resets + faults.errors {
-            return Handled::Fault;
+        if draw < faults.resets + faults.errors {
+            return SetupReply::ErrorReply;
         }
-        let full = at.streams.len() >= at.spec.places || (at.spec.guard && at.asked >= Self::link(at));
-        if full {
-            return Handled::Full;
+        let is_full = node_state.streams.len() >= node_state.spec.places
+            || (node_state.spec.guard && node_state.demand >= Self::link_capacity(node_state));
+        if is_full {
+            return SetupReply::Full;
         }
-        let mut done = now + faults.delay.as_secs_f64();
+        let mut handled_at = now + faults.delay.as_secs_f64();
         if faults.queue {
-            done = now.max(at.busy_until) + faults.delay.as_secs_f64();
-            at.busy_until = done;
+            handled_at = now.max(node_state.setup_queue_ends) + faults.delay.as_secs_f64();
+            node_state.setup_queue_ends = handled_at;
         }
-        let lost = faults.answer_lost || faults.hang;
-        at.streams.insert(key, rate);
-        self.ask(node, rate);
-        if lost { Handled::Unheard } else { Handled::Ok { at: done } }
+        let is_reply_lost = faults.answer_lost || faults.hang;
+        node_state.streams.insert(key, rate);
+        self.adjust_demand(node, rate);
+        if is_reply_lost { SetupReply::ReplyLost } else { SetupReply::Accepted { done_at: handled_at } }
     }
 
-    /// A further track is set up: it takes its turn as well.
-    pub fn further(&mut self, now: f64, node: usize) {
-        if let Some(at) = self.all.get_mut(node).filter(|at| at.faults.queue) {
-            at.busy_until = now.max(at.busy_until) + at.faults.delay.as_secs_f64();
+    /// Queues the SETUP of a further track of an accepted stream.
+    pub fn handle_further_setup(&mut self, now: f64, node: usize) {
+        if let Some(node_state) = self.nodes.get_mut(node).filter(|node_state| node_state.faults.queue) {
+            node_state.setup_queue_ends =
+                now.max(node_state.setup_queue_ends) + node_state.faults.delay.as_secs_f64();
         }
     }
 
-    fn pushed_over(&mut self, now: f64, node: usize) -> bool {
-        let cold = self.cold;
-        let at = &mut self.all[node];
-        let part = (now - at.started) / cold.warm_after;
-        if part >= 1.0 {
+    /// Counts a SETUP and returns whether it overloads a node that is still cold.
+    fn is_overloaded_by_setup(&mut self, now: f64, node: usize) -> bool {
+        let cold_pace = self.cold_pace;
+        let node_state = &mut self.nodes[node];
+        let warm_fraction = (now - node_state.started_at) / cold_pace.warm_after;
+        if warm_fraction >= 1.0 {
             return false;
         }
-        while at.setups.front().is_some_and(|&then| now - then > cold.span) {
-            at.setups.pop_front();
+        while node_state.recent_setups.front().is_some_and(|&then| now - then > cold_pace.span) {
+            node_state.recent_setups.pop_front();
         }
-        at.setups.push_back(now);
-        let pace = at.spec.places as f64 / cold.warm_after;
-        let present = pace * (cold.from + (1.0 - cold.from) * part);
-        at.setups.len() as f64 > cold.multiple * present * cold.span + 1.0
+        node_state.recent_setups.push_back(now);
+        let warm_pace = node_state.spec.places as f64 / cold_pace.warm_after;
+        let current_pace = warm_pace * (cold_pace.from + (1.0 - cold_pace.from) * warm_fraction);
+        node_state.recent_setups.len() as f64 > cold_pace.multiple * current_pace * cold_pace.span + 1.0
     }
 
-    pub fn end(&mut self, node: usize, key: Key) -> bool {
-        let Some(rate) = self.all.get_mut(node).and_then(|at| at.streams.remove(&key)) else { return false };
-        self.ask(node, -rate);
+    /// Ends a stream; false if the node doesn't have it.
+    pub fn end_stream(&mut self, node: usize, key: StreamKey) -> bool {
+        let Some(rate) = self.nodes.get_mut(node).and_then(|node_state| node_state.streams.remove(&key))
+        else {
+            return false;
+        };
+        self.adjust_demand(node, -rate);
         true
     }
 
-    pub fn rung(&mut self, node: usize, key: Key, rung: u8) {
-        let rate = self.rate(rung);
-        let Some(old) = self.all.get_mut(node).and_then(|at| at.streams.get_mut(&key)) else { return };
+    /// Changes the rung of a stream.
+    pub fn change_rung(&mut self, node: usize, key: StreamKey, rung: u8) {
+        let rate = self.rung_rate(rung);
+        let Some(old) = self.nodes.get_mut(node).and_then(|node_state| node_state.streams.get_mut(&key))
+        else {
+            return;
+        };
         let change = rate - std::mem::replace(old, rate);
-        self.ask(node, change);
+        self.adjust_demand(node, change);
     }
 
-    /// The process ends; the sessions that it held.
-    pub fn stop(&mut self, node: usize) -> Vec<Key> {
-        let Some(at) = self.all.get_mut(node) else { return Vec::new() };
-        (at.up, at.process) = (false, at.process + 1);
-        let held = std::mem::take(&mut at.streams).into_keys().collect();
-        self.ask(node, 0.0);
-        held
+    /// Stops the process and returns the streams that it served.
+    pub fn stop(&mut self, node: usize) -> Vec<StreamKey> {
+        let Some(node_state) = self.nodes.get_mut(node) else { return Vec::new() };
+        (node_state.up, node_state.process) = (false, node_state.process + 1);
+        let ended = std::mem::take(&mut node_state.streams).into_keys().collect();
+        self.adjust_demand(node, 0.0);
+        ended
     }
 
-    /// It starts again, cold; one that was pushed over stays down.
+    /// Starts the process again, cold and without faults. An overloaded node stays down.
     pub fn start(&mut self, now: f64, node: usize) {
-        let Some(at) = self.all.get_mut(node).filter(|at| !at.fallen) else { return };
-        (at.up, at.started, at.busy_until, at.faults) = (true, now, now, Faults::default());
-        at.setups.clear();
+        let Some(node_state) = self.nodes.get_mut(node).filter(|node_state| !node_state.overloaded) else {
+            return;
+        };
+        (node_state.up, node_state.started_at, node_state.setup_queue_ends, node_state.faults) =
+            (true, now, now, Faults::default());
+        node_state.recent_setups.clear();
     }
 }
--- a/crates/lab/src/emulator/report.rs
+++ b/crates/lab/src/emulator/report.rs
@@ -1,77 +1,118 @@
-//! What came of an emulated day.
+//! The report of an emulated day.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// One service group, over the day.
+/// Totals of one service group.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Group {
+pub struct GroupReport {
     pub name: String,
+    /// Viewers that arrived.
     pub viewers: u64,
     /// First requests answered with a session within the start target.
     pub in_time: u64,
-    /// Sessions that began at all, at first or after coming back.
+    /// Sessions started, on the first or a later attempt.
     pub played: u64,
-    pub busy_replied: u64,
-    /// Busy replies by the reason that the engine gave.
-    pub why: std::collections::BTreeMap<String, u64>,
+    /// Requests answered with a busy reply.
+    #[serde(rename = "busy_replied")]
+    pub busy_replies: u64,
+    /// Busy replies by the engine's reason.
+    #[serde(rename = "why")]
+    pub busy_reasons: std::collections::BTreeMap<String, u64>,
+    /// Requests whose session was torn down before it started.
     pub torn_down: u64,
-    /// Gave up at their setup timeout without an answer.
+    /// Requests not answered within their setup timeout.
     pub unanswered: u64,
-    /// Came back when told, and got a session then; and that within a fifth of the time told.
-    pub came_back: u64,
-    pub back_in: u64,
-    pub back_true: u64,
-    /// Of playing sessions: ended by the loss of their node or director.
-    pub broken: u64,
-    /// Viewer-seconds played, and utility earned in them, of what the ladder's top earns.
-    pub watched: f64,
-    pub quality: f64,
+    /// Retries sent at the time that a busy reply asked for.
+    #[serde(rename = "came_back")]
+    pub prompt_retries: u64,
+    /// Sessions started on a retry that a busy reply asked for.
+    #[serde(rename = "back_in")]
+    pub retries_started: u64,
+    /// Those of `retries_started` that started within 1.2 times the requested delay.
+    #[serde(rename = "back_true")]
+    pub retries_started_in_time: u64,
+    /// Playing sessions that ended through the loss of their node or director.
+    #[serde(rename = "broken")]
+    pub lost_sessions: u64,
+    /// Viewer-seconds played.
+    #[serde(rename = "watched")]
+    pub watched_s: f64,
+    /// Viewer-seconds weighted by delivered utility relative to the top rung.
+    #[serde(rename = "quality")]
+    pub quality_s: f64,
 }
 
-/// One second of the day.
+/// Figures of one second of the day. Vectors are indexed by service group unless noted.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Sample {
     pub second: u64,
-    /// By service group: first requests, those in time, busy replies, those that came back, and those that play.
-    pub asked: Vec<u64>,
+    /// First requests.
+    #[serde(rename = "asked")]
+    pub requests: Vec<u64>,
+    /// First requests answered with a session within the start target.
     pub in_time: Vec<u64>,
-    pub busy: Vec<u64>,
-    pub returned: Vec<u64>,
+    /// Busy replies.
+    #[serde(rename = "busy")]
+    pub busy_replies: Vec<u64>,
+    /// Retries sent at the time that a busy reply asked for.
+    #[serde(rename = "returned")]
+    pub retries: Vec<u64>,
+    /// Sessions playing.
     pub playing: Vec<u64>,
-    /// How full links are: on average and the fullest.
-    pub fill: (f64, f64),
-    /// By director: its door's limit, none without a door or while it is down.
-    pub limits: Vec<Option<f64>>,
+    /// Link utilization: mean and maximum over the nodes.
+    #[serde(rename = "fill")]
+    pub link_utilization: (f64, f64),
+    /// By director: the concurrency limit of its admission controller; `None` without one or while it is down.
+    #[serde(rename = "limits")]
+    pub concurrency_limits: Vec<Option<f64>>,
 }
 
+/// The whole day.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    pub groups: Vec<Group>,
+    pub groups: Vec<GroupReport>,
     pub samples: Vec<Sample>,
-    /// By director: sessions that it began in time.
-    pub by_director: Vec<u64>,
+    /// By director: first requests answered with a session within the start target.
+    #[serde(rename = "by_director")]
+    pub in_time_by_director: Vec<u64>,
+    /// SETUPs sent.
     pub setups: u64,
-    /// Doors' promises of room: made, of those that came back at their moment, and of those that went in then.
-    pub promised: (u64, u64, u64),
-    pub fallen: u64,
-    /// Rules broken, as the world saw it: requests without their one answer, second SETUPs out, set-ups on drained nodes.
-    pub broken_rules: Vec<String>,
+    /// Retry slots of the admission controllers: reserved, used by a retry in time, and admitted of those.
+    #[serde(rename = "promised")]
+    pub retry_slots: (u64, u64, u64),
+    /// Number of cold nodes that were overloaded.
+    #[serde(rename = "fallen")]
+    pub overloaded_nodes: u64,
+    /// Violations that the emulator observed: unanswered requests, concurrent or repeated SETUPs of a session, SETUPs at
+    /// drained nodes, overloaded cold nodes.
+    #[serde(rename = "broken_rules")]
+    pub violations: Vec<String>,
+    /// Events processed.
     pub events: u64,
+    /// Engine rounds run.
     pub rounds: u64,
-    /// Utility of sessions that began in time over that of all asked for.
+    /// Utility of the first requests answered in time, as a fraction of the utility of all.
     pub service: f64,
-    pub peak_returned: u64,
-    pub mean_returned: f64,
-    /// When SETUPs failed at once, in seconds.
-    pub failed_at: Vec<f64>,
-    /// Datagrams and bytes that directors said to each other, and the words that the fullest of them held of nodes.
-    pub said: (u64, u64),
-    pub words: usize,
+    /// Highest number of retries in a second.
+    #[serde(rename = "peak_returned")]
+    pub peak_retries: u64,
+    /// Mean number of retries per second.
+    #[serde(rename = "mean_returned")]
+    pub mean_retries: f64,
+    /// Times of SETUPs that failed with an error reply, in seconds.
+    #[serde(rename = "failed_at")]
+    pub error_reply_times: Vec<f64>,
+    /// Datagrams and bytes sent between directors.
+    #[serde(rename = "said")]
+    pub peer_traffic: (u64, u64),
+    /// Highest number of node health reports held by one director.
+    #[serde(rename = "words")]
+    pub max_health_reports: usize,
 }
 
-/// Jain's index: 1 if all are alike, 1 over their number if one has all.
+/// Jain's fairness index: 1 if all shares are equal, 1/n if one of n has everything.
 pub fn jain(shares: &[f64]) -> f64 {
     let (sum, squares): (f64, f64) = shares.iter().fold((0.0, 0.0), |(s, q), x| (s + x, q + x * x));
     if squares > 0.0 { sum * sum / (shares.len() as f64 * squares) } else { 1.0 }
@@ -80,61 +121,65 @@
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         for g in &self.groups {
-            let of =
-                |n: u64, of: u64| if of == 0 { "-".into() } else { format!("{:.3}", n as f64 / of as f64) };
+            let ratio = |n: u64, ratio: u64| {
+                if ratio == 0 { "-".into() } else { format!("{:.3}", n as f64 / ratio as f64) }
+            };
             writeln!(
                 f,
                 "{}: in time {} of {}, played {}, {} busy replies, {} torn down, {} unanswered, {} broken; back as \
                  told {}, in {}, within a fifth {}; quality {:.3}",
                 g.name,
-                of(g.in_time, g.viewers),
+                ratio(g.in_time, g.viewers),
                 g.viewers,
-                of(g.played, g.viewers),
-                g.busy_replied,
+                ratio(g.played, g.viewers),
+                g.busy_replies,
                 g.torn_down,
                 g.unanswered,
-                g.broken,
-                g.came_back,
-                of(g.back_in, g.came_back),
-                of(g.back_true, g.came_back),
-                if g.watched > 0.0 { g.quality / g.watched } else { 0.0 },
+                g.lost_sessions,
+                g.prompt_retries,
+                ratio(g.retries_started, g.prompt_retries),
+                ratio(g.retries_started_in_time, g.prompt_retries),
+                if g.watched_s > 0.0 { g.quality_s / g.watched_s } else { 0.0 },
             )?;
-            if !g.why.is_empty() {
-                let why = g.why.iter().map(|(why, n)| format!("{why} {n}"));
-                writeln!(f, "    busy replies: {}", why.collect::<Vec<_>>().join(", "))?;
+            if !g.busy_reasons.is_empty() {
+                let reasons = g.busy_reasons.iter().map(|(reason, n)| format!("{reason} {n}"));
+                writeln!(f, "    busy replies: {}", reasons.collect::<Vec<_>>().join(", "))?;
             }
         }
-        let directors: Vec<f64> = self.by_director.iter().map(|&n| n as f64).collect();
-        let least = self.by_director.iter().min().copied().unwrap_or(0);
-        let most = self.by_director.iter().max().copied().unwrap_or(0);
+        let directors: Vec<f64> = self.in_time_by_director.iter().map(|&n| n as f64).collect();
+        let min_in_time = self.in_time_by_director.iter().min().copied().unwrap_or(0);
+        let max_in_time = self.in_time_by_director.iter().max().copied().unwrap_or(0);
         writeln!(
             f,
             "service {:.3}; {} SETUPs, {} nodes pushed over; returning a second: mean {:.1}, most {}",
-            self.service, self.setups, self.fallen, self.mean_returned, self.peak_returned
+            self.service, self.setups, self.overloaded_nodes, self.mean_retries, self.peak_retries
+        )?;
+        let (reserved, returned, admitted) = self.retry_slots;
+        writeln!(
+            f,
+            "room promised {reserved} times, {returned} came at their moment, {admitted} of them went in"
         )?;
-        let (made, came, went_in) = self.promised;
-        writeln!(f, "room promised {made} times, {came} came at their moment, {went_in} of them went in")?;
         writeln!(
             f,
-            "directors {}: in time {least} to {most}, Jain {:.3}",
+            "directors {}: in time {min_in_time} to {max_in_time}, Jain {:.3}",
             directors.len(),
             jain(&directors)
         )?;
-        if self.said.0 > 0 {
-            let a_second =
-                self.said.1 as f64 / self.samples.len().max(1) as f64 / directors.len().max(1) as f64;
+        if self.peer_traffic.0 > 0 {
+            let bytes_per_second =
+                self.peer_traffic.1 as f64 / self.samples.len().max(1) as f64 / directors.len().max(1) as f64;
             writeln!(
                 f,
-                "said {} datagrams, {a_second:.0} bytes a second by each; {} words held at most",
-                self.said.0, self.words
+                "said {} datagrams, {bytes_per_second:.0} bytes a second by each; {} words held at most",
+                self.peer_traffic.0, self.max_health_reports
             )?;
         }
-        if !self.failed_at.is_empty() {
-            writeln!(f, "{} SETUPs failed at once", self.failed_at.len())?;
+        if !self.error_reply_times.is_empty() {
+            writeln!(f, "{} SETUPs failed at once", self.error_reply_times.len())?;
         }
-        match self.broken_rules.len() {
+        match self.violations.len() {
             0 => writeln!(f, "rules held"),
-            n => writeln!(f, "{n} breaches of rules, the first: {}", self.broken_rules[0]),
+            n => writeln!(f, "{n} breaches of rules, the first: {}", self.violations[0]),
         }
     }
 }
--- a/crates/lab/src/emulator/world.rs
+++ b/crates/lab/src/emulator/world.rs
@@ -1,4 +1,4 @@
-//! The events of a day, in their order.
+//! The event loop of the emulator: event queue, simulated clock and dispatch.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -11,548 +11,552 @@
 use ashglade_settings::{Settings, Title};
 use ashglade_shared::PeerMessage;
 
-use super::crowd::Viewer;
-use super::nodes::{Fleet, Handled, Key};
+use super::director::SimulatedDirector;
+use super::environment::{self, EnvironmentChange, FleetSize};
+use super::nodes::{Fleet, SetupReply, StreamKey};
+use super::peers::{self, PeerState};
 use super::report::{Report, Sample};
-use super::shells::Shell;
-use super::talk::{self, Talker};
-use super::troubles::{self, Change, Sizes};
+use super::viewers::Viewer;
 use crate::day::Day;
-use crate::{directors, play, visits};
+use crate::{arrivals, directors, play};
 
 #[derive(Debug)]
 pub(super) enum Event {
-    /// The next viewer comes.
-    Comes,
-    /// A viewer asks, at first or again.
-    Asks {
-        viewer: usize,
-    },
-    /// It is answered.
-    Answered {
-        viewer: usize,
-        again: u32,
-        answer: SessionResponse,
-    },
-    /// Its session, or the connection, broke.
-    Breaks {
-        viewer: usize,
-        again: u32,
-    },
-    /// It doesn't wait any longer, or has watched enough.
-    GivesUp {
-        viewer: usize,
-        again: u32,
-    },
-    Ends {
-        viewer: usize,
-        again: u32,
-    },
-    /// Something reaches a director's process.
-    Reaches {
-        director: u16,
-        life: u32,
-        input: Input,
-    },
-    /// It is time for a round.
-    Round {
-        director: u16,
-        life: u32,
-    },
-    /// A SETUP reaches a node.
-    Setup {
-        key: Key,
-        life: u32,
-        setup: SetupNumber,
-        node: usize,
-        rung: u8,
-    },
-    /// A set-up has been handled there.
-    SetUp {
-        key: Key,
-        life: u32,
-        setup: SetupNumber,
-        node: usize,
-        process: u32,
-    },
-    /// A session is over at a node, or changes its rung there.
-    Over {
-        key: Key,
-        node: usize,
-    },
-    Switch {
-        key: Key,
-        node: usize,
-        rung: u8,
-    },
-    Change(Change),
-    /// A director looks at what it shares.
-    Talks {
-        director: u16,
-        life: u32,
-    },
-    /// What one says to another comes there.
-    Said(PeerMessage),
-    /// Lists are told.
-    Listed {
-        nodes: Vec<usize>,
-        standing: NodeState,
-        started: Option<f64>,
-    },
-    Second,
+    /// The next viewer of the day arrives.
+    ViewerArrives,
+    /// A viewer sends a request, its first one or a retry.
+    ViewerRequests { viewer: usize },
+    /// The response reaches the viewer.
+    ViewerAnswered { viewer: usize, attempt: u32, response: SessionResponse },
+    /// The viewer's session or connection was lost.
+    ViewerDisconnected { viewer: usize, attempt: u32 },
+    /// The viewer stops waiting for a response.
+    ViewerGivesUp { viewer: usize, attempt: u32 },
+    /// The viewer has watched to the end.
+    ViewingEnds { viewer: usize, attempt: u32 },
+    /// An input for a director's engine arrives.
+    DirectorInput { director: u16, process: u32, input: Input },
+    /// A round of a director's engine is due.
+    DirectorRound { director: u16, process: u32 },
+    /// A SETUP arrives at a node.
+    SetupArrives { key: StreamKey, process: u32, setup: SetupNumber, node: usize, rung: u8 },
+    /// A node has finished handling a SETUP that it accepted.
+    SetupHandled { key: StreamKey, process: u32, setup: SetupNumber, node: usize, node_process: u32 },
+    /// A node learns that a stream has ended.
+    StreamEnds { key: StreamKey, node: usize },
+    /// A node learns that a stream changes to another rung.
+    RungChanges { key: StreamKey, node: usize, rung: u8 },
+    /// A scripted change of the environment takes effect.
+    EnvironmentChanges(EnvironmentChange),
+    /// The periodic tick of a director's peer state.
+    PeerTick { director: u16, process: u32 },
+    /// A message from one director arrives at another.
+    PeerMessageArrives(PeerMessage),
+    /// All directors receive an updated node list.
+    ListUpdated { nodes: Vec<usize>, state: NodeState, started: Option<f64> },
+    /// Another second of the day has passed.
+    SecondPassed,
 }
 
-/// An event, by when it happens and, of one moment, in the order in which it was planned.
-pub(super) struct Planned {
+/// A scheduled event. Ordered by time; events of the same time run in the order in which they were scheduled.
+pub(super) struct ScheduledEvent {
     at: u64,
-    number: u64,
+    sequence: u64,
     event: Event,
 }
 
-impl PartialEq for Planned {
-    fn eq(&self, other: &Planned) -> bool {
-        (self.at, self.number) == (other.at, other.number)
+impl PartialEq for ScheduledEvent {
+    fn eq(&self, other: &ScheduledEvent) -> bool {
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
 
-impl Eq for Planned {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Planned {
-    fn partial_cmp(&self, other: &Planned) -> Option<std::cmp::Ordering> {
+impl PartialOrd for ScheduledEvent {
+    fn partial_cmp(&self, other: &ScheduledEvent) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Planned {
-    fn cmp(&self, other: &Planned) -> std::cmp::Ordering {
-        (self.at, self.number).cmp(&(other.at, other.number))
+impl Ord for ScheduledEvent {
+    fn cmp(&self, other: &ScheduledEvent) -> std::cmp::Ordering {
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
+/// The whole state of an emulated day.
 pub(super) struct World {
-    /// Microseconds since the day began.
-    pub now: u64,
-    queue: BinaryHeap<Reverse<Planned>>,
-    planned: u64,
+    /// Current simulated time, in microseconds since the start of the day.
+    pub now_us: u64,
+    event_queue: BinaryHeap<Reverse<ScheduledEvent>>,
+    scheduled_count: u64,
     pub settings: Settings,
-    /// By place in the settings.
+    /// Titles in the order of the settings.
     pub titles: Vec<Title>,
-    pub net: f64,
-    pub shells: Vec<Shell>,
-    /// What is wrong between directors.
-    pub cuts: talk::Cuts,
+    /// One-way latency of every message, in seconds.
+    pub network_delay_s: f64,
+    pub directors: Vec<SimulatedDirector>,
+    /// Network faults between directors.
+    pub network_faults: peers::NetworkFaults,
     pub fleet: Fleet,
-    pub node_of: BTreeMap<NodeId, usize>,
+    /// Index of each node in the fleet, by its identifier.
+    pub node_index: BTreeMap<NodeId, usize>,
+    /// The node list as discovery last published it.
     pub list: NodeList,
-    stale: f64,
-    pub drain_grace: f64,
+    /// Additional delay of node list updates, in seconds.
+    list_delay_s: f64,
+    /// Seconds after a node was listed as draining or gone in which a SETUP may still arrive there.
+    pub drain_grace_s: f64,
     pub viewers: Vec<Viewer>,
-    /// Those still to come, the first last.
-    pub to_come: Vec<visits::Visit>,
+    /// Viewers that have not arrived yet, in reverse order of arrival.
+    pub pending_arrivals: Vec<arrivals::Arrival>,
     pub report: Report,
+    /// Figures of the current second.
     pub sample: Sample,
-    end: f64,
-    /// Nobody is there any longer, and nobody comes.
-    over: bool,
+    /// Length of the day, in seconds.
+    end_s: f64,
+    /// Whether the day has ended, all viewers have left and no more will arrive.
+    finished: bool,
 }
 
-/// A round takes so many microseconds, and so many more for each thing that came in.
-const ROUND: u64 = 20;
-const ROUND_EACH: u64 = 20;
+/// Simulated duration of an engine round, in microseconds: a fixed part and a part for each input.
+const ROUND_BASE_MICROS: u64 = 20;
+const ROUND_PER_INPUT_MICROS: u64 = 20;
 
-/// Plays the whole day; `door` off leaves the settings' door out.
-pub fn run(day: &Day, door: bool) -> Result<Report, String> {
-    if let Some(at) = day.fault.iter().position(|fault| !talk::can_be_emulated(fault)) {
+/// Plays the whole day. With `admission` false, the admission controller of the settings is disabled.
+pub fn run(day: &Day, admission: bool) -> Result<Report, String> {
+    if let Some(at) = day.fault.iter().position(|fault| !peers::is_supported(fault)) {
         return Err(format!("fault[{at}]: only CUT and LOSS at times, between directors, are emulated"));
     }
-    let mut world = World::new(day, door)?;
+    let mut world = World::new(day, admission)?;
     world.begin(day);
-    while !world.over
-        && let Some(Reverse(Planned { at, event, .. })) = world.queue.pop()
+    while !world.finished
+        && let Some(Reverse(ScheduledEvent { at, event, .. })) = world.event_queue.pop()
     {
-        world.now = at;
+        world.now_us = at;
         world.report.events += 1;
-        world.happens(event);
+        world.handle_event(event);
     }
-    Ok(world.done())
+    Ok(world.into_report())
 }
 
 impl World {
-    fn new(day: &Day, door: bool) -> Result<World, String> {
+    fn new(day: &Day, admission: bool) -> Result<World, String> {
         let count = day.directors.unwrap_or(1) as u16;
-        let mut starts = Vec::new();
+        let mut director_configs = Vec::new();
         let mut first = None;
-        for number in 0..count {
-            // Nothing is ever sent there.
+        for director in 0..count {
+            // These addresses are placeholders: nothing is sent to them.
             let peers = (0..count).map(|peer| format!("127.0.0.1:{}", 1000 + peer)).collect();
-            let text = directors::headend(day, number, "127.0.0.1:554", "127.0.0.1:80", Some(peers))?;
+            let text = directors::headend(day, director, "127.0.0.1:554", "127.0.0.1:80", Some(peers))?;
             let mut settings = ashglade_settings::settings("headend", &text).map_err(|e| e.to_string())?;
-            settings.door = settings.door.filter(|_| door);
-            starts.push((ashglade_director::replay_start(&settings), Talker::new(&settings)));
+            settings.door = settings.door.filter(|_| admission);
+            director_configs.push((ashglade_director::replay_start(&settings), PeerState::new(&settings)));
             first.get_or_insert(settings);
         }
         let settings = first.ok_or("a day needs a director")?;
         let named = day.headend.iter().flat_map(|h| &h.title).filter_map(|t| t.name.as_ref());
         let titles = named.filter_map(|name| settings.titles.get(name)).cloned().collect();
-        let (specs, entries) = play::nodes(day, &settings);
-        // An address of its own for each; nothing is ever sent there.
-        let place = |i: usize| [127, 1 + (i >> 16) as u8, (i >> 8) as u8, i as u8];
+        let (node_specs, entries) = play::nodes(day, &settings);
+        // Each node gets a unique address, as identifiers derive from it; nothing is sent there.
+        let loopback_address = |i: usize| [127, 1 + (i >> 16) as u8, (i >> 8) as u8, i as u8];
         let entries: Vec<NodeEntry> = entries
             .into_iter()
             .enumerate()
-            .map(|(i, entry)| NodeEntry { address: (place(i), 554).into(), ..entry })
+            .map(|(i, entry)| NodeEntry { address: (loopback_address(i), 554).into(), ..entry })
             .collect();
         let (uplinks, ladder, cold) = play::terms(&settings);
         let seed = day.seed.unwrap_or(0);
-        let mut to_come = visits::draw(day, &settings);
-        to_come.reverse();
+        let mut pending_arrivals = arrivals::draw(day, &settings);
+        pending_arrivals.reverse();
         let groups = settings.group_names.iter();
         let report = Report {
-            groups: groups.map(|name| super::Group { name: name.clone(), ..Default::default() }).collect(),
-            by_director: vec![0; starts.len()],
+            groups: groups
+                .map(|name| super::GroupReport { name: name.clone(), ..Default::default() })
+                .collect(),
+            in_time_by_director: vec![0; director_configs.len()],
             ..Report::default()
         };
         Ok(World {
-            now: 0,
-            queue: BinaryHeap::new(),
-            planned: 0,
+            now_us: 0,
+            event_queue: BinaryHeap::new(),
+            scheduled_count: 0,
             titles,
-            net: day.network_ms.unwrap_or(0.3) / 1e3,
-            shells: starts.into_iter().map(|(start, talker)| Shell::new(start, talker)).collect(),
-            cuts: talk::Cuts::of(day),
-            fleet: Fleet::new(specs, uplinks, ladder, cold, seed),
-            node_of: entries.iter().enumerate().map(|(i, entry)| (entry.node_id(), i)).collect(),
+            network_delay_s: day.network_ms.unwrap_or(0.3) / 1e3,
+            directors: director_configs
+                .into_iter()
+                .map(|(start, peer_state)| SimulatedDirector::new(start, peer_state))
+                .collect(),
+            network_faults: peers::NetworkFaults::of(day),
+            fleet: Fleet::new(node_specs, uplinks, ladder, cold, seed),
+            node_index: entries.iter().enumerate().map(|(i, entry)| (entry.node_id(), i)).collect(),
             list: NodeList { generation: 1, entries },
-            stale: 0.0,
-            drain_grace: day.drain_grace_ms.unwrap_or(0.0) / 1e3,
+            list_delay_s: 0.0,
+            drain_grace_s: day.drain_grace_ms.unwrap_or(0.0) / 1e3,
             viewers: Vec::new(),
-            to_come,
+            pending_arrivals,
             report,
             sample: Sample::default(),
-            end: day.seconds.unwrap_or(0.0),
-            over: false,
+            end_s: day.seconds.unwrap_or(0.0),
+            finished: false,
             settings,
         })
     }
 
     fn begin(&mut self, day: &Day) {
-        for director in 0..self.shells.len() {
-            self.director_up(director);
+        for director in 0..self.directors.len() {
+            self.start_director(director);
         }
         let lists = day.lists.unwrap_or_default();
-        let sizes = Sizes {
-            nodes: self.fleet.all.len(),
+        let sizes = FleetSize {
+            nodes: self.fleet.nodes.len(),
             racks: self.fleet.uplinks.len(),
-            directors: self.shells.len(),
-            notice: lists.notice_ms.unwrap_or(0.0) / 1e3,
-            silent_notice: lists.silent_notice_ms.unwrap_or(0.0) / 1e3,
+            directors: self.directors.len(),
+            notice_s: lists.notice_ms.unwrap_or(0.0) / 1e3,
+            silent_notice_s: lists.silent_notice_ms.unwrap_or(0.0) / 1e3,
         };
-        for (at, change) in day.trouble.iter().flat_map(|t| troubles::changes(t, &sizes)) {
-            self.plan(at, Event::Change(change));
+        for (at, change) in day.trouble.iter().flat_map(|t| environment::changes(t, &sizes)) {
+            self.schedule_after(at, Event::EnvironmentChanges(change));
         }
         self.sample = self.empty_sample(0);
-        self.plan(1.0, Event::Second);
-        self.next_comes();
+        self.schedule_after(1.0, Event::SecondPassed);
+        self.schedule_next_arrival();
     }
 
-    pub fn secs(&self) -> f64 {
-        self.now as f64 / 1e6
+    pub fn now_seconds(&self) -> f64 {
+        self.now_us as f64 / 1e6
     }
 
     pub fn instant(&self) -> Instant {
-        Instant::from_ms(self.now as f64 / 1e3)
+        Instant::from_ms(self.now_us as f64 / 1e3)
     }
 
-    /// Plans an event so many seconds from now.
-    pub fn plan(&mut self, after: f64, event: Event) {
-        self.plan_at(self.now + (after.max(0.0) * 1e6).round() as u64, event);
+    /// Schedules an event `after` seconds from now.
+    pub fn schedule_after(&mut self, after: f64, event: Event) {
+        self.schedule_at(self.now_us + (after.max(0.0) * 1e6).round() as u64, event);
     }
 
-    pub fn plan_at(&mut self, at: u64, event: Event) {
-        self.planned += 1;
-        self.queue.push(Reverse(Planned { at, number: self.planned, event }));
+    /// Schedules an event at an absolute time, in microseconds since the start of the day.
+    pub fn schedule_at(&mut self, at: u64, event: Event) {
+        self.scheduled_count += 1;
+        self.event_queue.push(Reverse(ScheduledEvent { at, sequence: self.scheduled_count, event }));
     }
 
-    /// Something comes in at a director: a round is due as soon as it has time.
-    pub fn reach(&mut self, director: u16, life: u32, input: Input) {
-        let Some(shell) = self.shells.get_mut(usize::from(director)).filter(|s| s.life == life) else {
+    /// Queues an input for a director and schedules a round for it as soon as the director is idle. Inputs for a
+    /// process that no longer runs are dropped.
+    pub fn deliver_input(&mut self, director: u16, process: u32, input: Input) {
+        let Some(director_state) = self
+            .directors
+            .get_mut(usize::from(director))
+            .filter(|director_state| director_state.process == process)
+        else {
             return;
         };
-        if shell.engine.is_none() {
+        if director_state.engine.is_none() {
             return;
         }
-        shell.inbox.push(input);
-        self.round_by(director, self.now);
+        director_state.inbox.push(input);
+        self.schedule_round(director, self.now_us);
     }
 
-    /// A round is due then at the latest.
-    pub fn round_by(&mut self, director: u16, at: u64) {
-        let shell = &mut self.shells[usize::from(director)];
-        let at = at.max(shell.free_at).max(self.now);
-        if shell.round_at.is_none_or(|due| at < due) {
-            shell.round_at = Some(at);
-            let life = shell.life;
-            self.plan_at(at, Event::Round { director, life });
+    /// Schedules the director's next round for `at` (microseconds) unless an earlier one is already scheduled.
+    pub fn schedule_round(&mut self, director: u16, at: u64) {
+        let director_state = &mut self.directors[usize::from(director)];
+        let at = at.max(director_state.busy_until_us).max(self.now_us);
+        if director_state.round_due_us.is_none_or(|due| at < due) {
+            director_state.round_due_us = Some(at);
+            let process = director_state.process;
+            self.schedule_at(at, Event::DirectorRound { director, process });
         }
     }
 
-    fn happens(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Comes => self.comes(),
-            Event::Asks { viewer } => self.asks(viewer),
-            Event::Answered { viewer, again, answer } => self.answered(viewer, again, answer),
-            Event::Breaks { viewer, again } => self.breaks(viewer, again),
-            Event::GivesUp { viewer, again } => self.gives_up(viewer, again),
-            Event::Ends { viewer, again } => self.ends(viewer, again),
-            Event::Reaches { director, life, input } => self.reach(director, life, input),
-            Event::Round { director, life } => {
-                let shell = &mut self.shells[usize::from(director)];
-                if shell.life == life && shell.round_at == Some(self.now) {
-                    shell.round_at = None;
-                    if shell.free_at > self.now {
-                        self.round_by(director, self.now);
+            Event::ViewerArrives => self.viewer_arrives(),
+            Event::ViewerRequests { viewer } => self.viewer_requests(viewer),
+            Event::ViewerAnswered { viewer, attempt, response } => {
+                self.viewer_answered(viewer, attempt, response)
+            }
+            Event::ViewerDisconnected { viewer, attempt } => self.viewer_disconnected(viewer, attempt),
+            Event::ViewerGivesUp { viewer, attempt } => self.viewer_gives_up(viewer, attempt),
+            Event::ViewingEnds { viewer, attempt } => self.viewing_ends(viewer, attempt),
+            Event::DirectorInput { director, process, input } => self.deliver_input(director, process, input),
+            Event::DirectorRound { director, process } => {
+                let director_state = &mut self.directors[usize::from(director)];
+                if director_state.process == process && director_state.round_due_us == Some(self.now_us) {
+                    director_state.round_due_us = None;
+                    if director_state.busy_until_us > self.now_us {
+                        self.schedule_round(director, self.now_us);
                         return;
                     }
-                    shell.free_at = self.now + ROUND + ROUND_EACH * shell.inbox.len() as u64;
+                    director_state.busy_until_us = self.now_us
+                        + ROUND_BASE_MICROS
+                        + ROUND_PER_INPUT_MICROS * director_state.inbox.len() as u64;
                     self.report.rounds += 1;
-                    self.round(director);
+                    self.run_round(director);
                 }
             }
-            Event::Setup { key, life, setup, node, rung } => self.setup_reaches(key, life, setup, node, rung),
-            Event::SetUp { key, life, setup, node, process } => {
-                let at = &self.fleet.all[node];
-                if at.process == process && at.streams.contains_key(&key) {
-                    // Its other tracks are set up on the same connection, and take their turns.
-                    for _ in 1..self.tracks(key) {
-                        self.fleet.further(self.secs(), node);
+            Event::SetupArrives { key, process, setup, node, rung } => {
+                self.setup_arrives(key, process, setup, node, rung)
+            }
+            Event::SetupHandled { key, process, setup, node, node_process } => {
+                let node_state = &self.fleet.nodes[node];
+                if node_state.process == node_process && node_state.streams.contains_key(&key) {
+                    // The other tracks are set up on the same connection and pass through the node's queue, too.
+                    for _ in 1..self.track_count(key) {
+                        self.fleet.handle_further_setup(self.now_seconds(), node);
                     }
                     let load = Some(self.fleet.load(node));
                     let input = Input::SetupAccepted { session: key.1, setup, load };
-                    self.plan(self.net, Event::Reaches { director: key.0, life, input });
+                    self.schedule_after(
+                        self.network_delay_s,
+                        Event::DirectorInput { director: key.0, process, input },
+                    );
                 }
             }
-            Event::Over { key, node } => drop(self.fleet.end(node, key)),
-            Event::Switch { key, node, rung } => self.fleet.rung(node, key, rung),
-            Event::Change(change) => self.change(change),
-            Event::Talks { director, life } => self.talks(director, life),
-            Event::Said(word) => self.said(&word),
-            Event::Listed { nodes, standing, started } => self.listed(&nodes, standing, started),
-            Event::Second => self.second(),
+            Event::StreamEnds { key, node } => drop(self.fleet.end_stream(node, key)),
+            Event::RungChanges { key, node, rung } => self.fleet.change_rung(node, key, rung),
+            Event::EnvironmentChanges(change) => self.change_environment(change),
+            Event::PeerTick { director, process } => self.peer_tick(director, process),
+            Event::PeerMessageArrives(message) => self.peer_message_arrives(&message),
+            Event::ListUpdated { nodes, state, started } => self.update_list(&nodes, state, started),
+            Event::SecondPassed => self.record_second(),
         }
     }
 
-    fn tracks(&self, (director, sess): Key) -> u8 {
-        let seat = self.shells[usize::from(director)].seats.get(&sess);
-        seat.map_or(1, |seat| self.viewers[seat.viewer].tracks())
+    fn track_count(&self, (director, session_id): StreamKey) -> u8 {
+        let session = self.directors[usize::from(director)].sessions.get(&session_id);
+        session.map_or(1, |session| self.viewers[session.viewer].track_count())
     }
 
-    fn setup_reaches(&mut self, key: Key, life: u32, setup: SetupNumber, node: usize, rung: u8) {
-        let (director, sess) = key;
-        let shell = &self.shells[usize::from(director)];
-        // The director has given it up, or is gone: its connection was closed before.
-        let wanted = shell.life == life
-            && shell.seats.get(&sess).is_some_and(|seat| seat.out == Some((setup, Some(node))));
-        let told = shell.leaves.get(&node).copied();
-        let at = &self.fleet.all[node];
-        let (up, hangs, process) = (at.up, at.faults.hang, at.process);
-        if !wanted || (up && hangs) {
+    fn setup_arrives(&mut self, key: StreamKey, process: u32, setup: SetupNumber, node: usize, rung: u8) {
+        let (director, session_id) = key;
+        let director_state = &self.directors[usize::from(director)];
+        // Otherwise the director has cancelled the SETUP or its process has ended, and the connection is closed.
+        let wanted = director_state.process == process
+            && director_state
+                .sessions
+                .get(&session_id)
+                .is_some_and(|session| session.pending_setup == Some((setup, Some(node))));
+        let listed_at = director_state.listed_leaving_s.get(&node).copied();
+        let node_state = &self.fleet.nodes[node];
+        let (up, hanging, node_process) = (node_state.up, node_state.faults.hang, node_state.process);
+        if !wanted || (up && hanging) {
             return;
         }
-        let late = told.map(|told| self.secs() - told).filter(|late| *late > self.drain_grace);
-        if let Some(late) = late {
-            self.breach(format!("rule 3: a SETUP at node {node}, told as leaving {late:.3} s before"));
+        let delay_s = listed_at
+            .map(|listed_at| self.now_seconds() - listed_at)
+            .filter(|delay_s| *delay_s > self.drain_grace_s);
+        if let Some(delay_s) = delay_s {
+            self.record_violation(format!(
+                "rule 3: a SETUP at node {node}, listed as leaving {delay_s:.3} s before"
+            ));
         }
         let handled = match up {
-            true => self.fleet.setup(self.secs(), node, key, rung),
-            false => Handled::Reset,
+            true => self.fleet.handle_setup(self.now_seconds(), node, key, rung),
+            false => SetupReply::ConnectionReset,
         };
         let load = Some(self.fleet.load(node));
         let input = match handled {
-            Handled::Ok { at } => {
-                let at = (at * 1e6).round() as u64;
-                return self.plan_at(at.max(self.now), Event::SetUp { key, life, setup, node, process });
+            SetupReply::Accepted { done_at } => {
+                let at = (done_at * 1e6).round() as u64;
+                return self.schedule_at(
+                    at.max(self.now_us),
+                    Event::SetupHandled { key, process, setup, node, node_process },
+                );
             }
-            Handled::Unheard => return,
-            Handled::Full => Input::SetupFailed {
-                session: sess,
+            SetupReply::ReplyLost => return,
+            SetupReply::Full => Input::SetupFailed {
+                session: session_id,
                 setup,
                 outcome: ashglade::interface::AttemptOutcome::Full,
                 load,
             },
-            Handled::Fault => {
-                self.report.failed_at.push(self.secs());
+            SetupReply::ErrorReply => {
+                self.report.error_reply_times.push(self.now_seconds());
                 Input::SetupFailed {
-                    session: sess,
+                    session: session_id,
                     setup,
                     outcome: ashglade::interface::AttemptOutcome::Fault,
                     load,
                 }
             }
-            Handled::Reset => Input::SetupFailed {
-                session: sess,
+            SetupReply::ConnectionReset => Input::SetupFailed {
+                session: session_id,
                 setup,
                 outcome: ashglade::interface::AttemptOutcome::Lost,
                 load: None,
             },
-            Handled::Fell => {
-                self.report.fallen += 1;
-                self.breach(format!("rule 4: node {node} was pushed over"));
+            SetupReply::Overloaded => {
+                self.report.overloaded_nodes += 1;
+                self.record_violation(format!("rule 4: node {node} was overloaded while cold"));
                 Input::SetupFailed {
-                    session: sess,
+                    session: session_id,
                     setup,
                     outcome: ashglade::interface::AttemptOutcome::Lost,
                     load: None,
                 }
             }
         };
-        self.plan(self.net, Event::Reaches { director, life, input });
+        self.schedule_after(self.network_delay_s, Event::DirectorInput { director, process, input });
     }
 
-    pub fn breach(&mut self, what: String) {
-        // The first few tell what is wrong; the number of all would be told by a judge.
-        if self.report.broken_rules.len() < 1000 {
-            let at = self.secs();
-            self.report.broken_rules.push(format!("{at:.3} s: {what}"));
+    /// Records a violation of one of the judge's rules.
+    pub fn record_violation(&mut self, violation: String) {
+        // Bounded: the first few show what is wrong, and the exact number of all is the judge's figure.
+        if self.report.violations.len() < 1000 {
+            let at = self.now_seconds();
+            self.report.violations.push(format!("{at:.3} s: {violation}"));
         }
     }
 
-    /// Whether a SETUP may follow one that may have run.
-    pub fn fragile(&self, group: usize) -> bool {
+    /// Whether a SETUP that may have been executed must not be retried for this group.
+    pub fn is_fragile(&self, group: usize) -> bool {
         self.settings.headend.groups.get(group).is_some_and(|g| g.retry_safety == RetrySafety::Fragile)
     }
 
-    fn change(&mut self, change: Change) {
+    fn change_environment(&mut self, change: EnvironmentChange) {
         match change {
-            Change::Faults(on, fault) => on.iter().for_each(|&i| self.fleet.set(i, |f| fault.apply(f))),
-            Change::Uplink(racks, by) => {
+            EnvironmentChange::NodeFault(on, fault) => {
+                on.iter().for_each(|&i| self.fleet.change_faults(i, |f| fault.apply(f)))
+            }
+            EnvironmentChange::UplinkSlowdown(racks, by) => {
                 racks.iter().for_each(|&r| {
-                    if let Some(cut) = self.fleet.cuts.get_mut(r) {
-                        *cut = by;
+                    if let Some(slowdown) = self.fleet.uplink_slowdowns.get_mut(r) {
+                        *slowdown = by;
                     }
                 });
             }
-            Change::Stop(on) => on.iter().for_each(|&i| self.node_stops(i)),
-            Change::Start(on) => {
-                let now = self.secs();
+            EnvironmentChange::StopNodes(on) => on.iter().for_each(|&i| self.stop_node(i)),
+            EnvironmentChange::StartNodes(on) => {
+                let now = self.now_seconds();
                 on.iter().for_each(|&i| self.fleet.start(now, i));
             }
-            Change::Told(nodes, standing, after) => {
-                let started = (standing == NodeState::Ready).then(|| self.secs());
-                self.plan(after + self.stale, Event::Listed { nodes, standing, started });
+            EnvironmentChange::ListNodes(nodes, state, after) => {
+                let started = (state == NodeState::Ready).then(|| self.now_seconds());
+                self.schedule_after(after + self.list_delay_s, Event::ListUpdated { nodes, state, started });
             }
-            Change::Stale(by) => self.stale = by,
-            Change::DirectorsDown(on) => on.iter().for_each(|&d| self.director_down(d)),
-            Change::DirectorsUp(on) => on.iter().for_each(|&d| self.director_up(d)),
-            Change::Stand(on, span) => {
-                let until = self.now + (span * 1e6) as u64;
-                on.iter().for_each(|&d| self.shells[d].free_at = until);
+            EnvironmentChange::ListDelay(by) => self.list_delay_s = by,
+            EnvironmentChange::KillDirectors(on) => on.iter().for_each(|&d| self.kill_director(d)),
+            EnvironmentChange::StartDirectors(on) => on.iter().for_each(|&d| self.start_director(d)),
+            EnvironmentChange::PauseDirectors(on, span) => {
+                let until = self.now_us + (span * 1e6) as u64;
+                on.iter().for_each(|&d| self.directors[d].busy_until_us = until);
             }
         }
     }
 
-    fn listed(&mut self, nodes: &[usize], standing: NodeState, started: Option<f64>) {
+    fn update_list(&mut self, nodes: &[usize], state: NodeState, started: Option<f64>) {
         for &i in nodes {
             let Some(entry) = self.list.entries.get_mut(i) else { continue };
-            entry.state = standing;
+            entry.state = state;
             if let Some(started) = started {
                 entry.info.started = Some(Instant::from_ms((started * 1e3).floor()));
             }
         }
         self.list.generation += 1;
-        let now = self.secs();
-        for director in 0..self.shells.len() {
-            let shell = &mut self.shells[director];
+        let now = self.now_seconds();
+        for director in 0..self.directors.len() {
+            let director_state = &mut self.directors[director];
             for &i in nodes {
-                match standing {
-                    NodeState::Ready => drop(shell.leaves.remove(&i)),
-                    _ => drop(shell.leaves.entry(i).or_insert(now)),
+                match state {
+                    NodeState::Ready => drop(director_state.listed_leaving_s.remove(&i)),
+                    _ => drop(director_state.listed_leaving_s.entry(i).or_insert(now)),
                 }
             }
-            let (life, input) = (shell.life, Input::DiscoverySnapshot(self.list.clone()));
-            self.reach(director as u16, life, input);
+            let (process, input) = (director_state.process, Input::DiscoverySnapshot(self.list.clone()));
+            self.deliver_input(director as u16, process, input);
         }
     }
 
     fn empty_sample(&self, second: u64) -> Sample {
-        let none = vec![0; self.report.groups.len()];
+        let zeros = vec![0; self.report.groups.len()];
         Sample {
             second,
-            asked: none.clone(),
-            in_time: none.clone(),
-            busy: none.clone(),
-            returned: none.clone(),
-            playing: none,
-            fill: (0.0, 0.0),
-            limits: Vec::new(),
+            requests: zeros.clone(),
+            in_time: zeros.clone(),
+            busy_replies: zeros.clone(),
+            retries: zeros.clone(),
+            playing: zeros,
+            link_utilization: (0.0, 0.0),
+            concurrency_limits: Vec::new(),
         }
     }
 
-    /// Flows are told, and the second is noted.
-    fn second(&mut self) {
-        let second = (self.secs().round() as u64).max(1) - 1;
+    /// Reports the delivery of all playing sessions to their directors and closes the sample of the past second.
+    fn record_second(&mut self) {
+        let second = (self.now_seconds().round() as u64).max(1) - 1;
         let top = self.settings.headend.ladder.last().map_or(1.0, |&(_, utility)| utility);
-        let shares: Vec<f64> = (0..self.fleet.all.len()).map(|i| self.fleet.share(i)).collect();
-        let mut flows = Vec::new();
-        for (director, shell) in self.shells.iter().enumerate() {
-            for (&sess, seat) in &shell.seats {
-                let Some(node) = seat.plays_at else { continue };
+        let shares: Vec<f64> = (0..self.fleet.nodes.len()).map(|i| self.fleet.delivered_share(i)).collect();
+        let mut deliveries = Vec::new();
+        for (director, director_state) in self.directors.iter().enumerate() {
+            for (&session_id, session) in &director_state.sessions {
+                let Some(node) = session.playing_on else { continue };
                 let share = shares[node];
-                flows.push((director as u16, shell.life, Input::SessionDelivery { session: sess, share }));
-                let rung = self.settings.headend.ladder.get(usize::from(seat.rung));
-                let group = &mut self.report.groups[seat.group];
-                group.watched += 1.0;
-                group.quality += rung.map_or(0.0, |&(_, utility)| utility / top) * share;
-                self.sample.playing[seat.group] += 1;
+                deliveries.push((
+                    director as u16,
+                    director_state.process,
+                    Input::SessionDelivery { session: session_id, share },
+                ));
+                let rung = self.settings.headend.ladder.get(usize::from(session.rung));
+                let group = &mut self.report.groups[session.group];
+                group.watched_s += 1.0;
+                group.quality_s += rung.map_or(0.0, |&(_, utility)| utility / top) * share;
+                self.sample.playing[session.group] += 1;
             }
         }
-        for (director, life, input) in flows {
-            self.reach(director, life, input);
+        for (director, process, input) in deliveries {
+            self.deliver_input(director, process, input);
         }
-        let fills: Vec<f64> = (0..self.fleet.all.len()).map(|i| self.fleet.fill(i)).collect();
-        let mean = fills.iter().sum::<f64>() / fills.len().max(1) as f64;
-        self.sample.fill = (mean, fills.iter().copied().fold(0.0, f64::max));
-        let limit = |shell: &Shell| Some(shell.engine.as_ref()?.admission()?.limit());
-        self.sample.limits = self.shells.iter().map(limit).collect();
+        let utilizations: Vec<f64> =
+            (0..self.fleet.nodes.len()).map(|i| self.fleet.link_utilization(i)).collect();
+        let mean = utilizations.iter().sum::<f64>() / utilizations.len().max(1) as f64;
+        self.sample.link_utilization = (mean, utilizations.iter().copied().fold(0.0, f64::max));
+        let concurrency_limit =
+            |director_state: &SimulatedDirector| Some(director_state.engine.as_ref()?.admission()?.limit());
+        self.sample.concurrency_limits = self.directors.iter().map(concurrency_limit).collect();
         let next = self.empty_sample(second + 1);
         self.report.samples.push(std::mem::replace(&mut self.sample, next));
-        let anyone = !self.to_come.is_empty() || self.viewers.iter().any(Viewer::present);
-        self.over = !anyone && self.secs() >= self.end;
-        self.plan(1.0, Event::Second);
+        let anyone = !self.pending_arrivals.is_empty() || self.viewers.iter().any(Viewer::present);
+        self.finished = !anyone && self.now_seconds() >= self.end_s;
+        self.schedule_after(1.0, Event::SecondPassed);
     }
 
-    fn done(mut self) -> Report {
-        for shell in &self.shells {
-            if let Some(engine) = &shell.engine {
+    fn into_report(mut self) -> Report {
+        for director_state in &self.directors {
+            if let Some(engine) = &director_state.engine {
                 let tally = engine.tally();
                 self.report.setups += tally.setups;
-                if let Some(door) = engine.admission() {
-                    let kept = door.status().retries;
-                    let (made, came, went_in) = &mut self.report.promised;
-                    (*made, *came, *went_in) = (
-                        *made + kept.slots_reserved,
-                        *came + kept.returned_in_slot,
-                        *went_in + kept.admitted,
+                if let Some(admission) = engine.admission() {
+                    let retries = admission.status().retries;
+                    let (reserved, returned, admitted) = &mut self.report.retry_slots;
+                    (*reserved, *returned, *admitted) = (
+                        *reserved + retries.slots_reserved,
+                        *returned + retries.returned_in_slot,
+                        *admitted + retries.admitted,
                     );
                 }
                 if tally.guarded + tally.doubled > 0 {
                     let (guarded, doubled) = (tally.guarded, tally.doubled);
-                    let what =
-                        format!("the last guard answered {guarded}, {doubled} second SETUPs held back");
-                    self.report.broken_rules.push(what);
+                    let violation = format!(
+                        "the final response guard answered {guarded} requests and held back {doubled} second SETUPs"
+                    );
+                    self.report.violations.push(violation);
                 }
             }
         }
         let report = &mut self.report;
-        let returned = report.samples.iter().map(|s| s.returned.iter().sum::<u64>());
-        let of_day: Vec<u64> = returned.take(self.end.ceil() as usize).collect();
-        report.peak_returned = of_day.iter().copied().max().unwrap_or(0);
-        report.mean_returned = of_day.iter().sum::<u64>() as f64 / of_day.len().max(1) as f64;
-        let worth = |pick: fn(&super::Group) -> u64| -> f64 {
+        let retries = report.samples.iter().map(|s| s.retries.iter().sum::<u64>());
+        let retries_in_day: Vec<u64> = retries.take(self.end_s.ceil() as usize).collect();
+        report.peak_retries = retries_in_day.iter().copied().max().unwrap_or(0);
+        report.mean_retries = retries_in_day.iter().sum::<u64>() as f64 / retries_in_day.len().max(1) as f64;
+        let total_utility = |count: fn(&super::GroupReport) -> u64| -> f64 {
             let groups = report.groups.iter().zip(&self.settings.headend.groups);
-            groups.map(|(group, terms)| pick(group) as f64 * terms.utility).sum()
+            groups.map(|(group, terms)| count(group) as f64 * terms.utility).sum()
         };
-        let asked = worth(|g| g.viewers);
-        report.service = if asked > 0.0 { worth(|g| g.in_time) / asked } else { 0.0 };
+        let asked = total_utility(|g| g.viewers);
+        report.service = if asked > 0.0 { total_utility(|g| g.in_time) / asked } else { 0.0 };
         self.report
     }
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,5 +1,6 @@
 //! `ashglade-lab`: plays days against real directors on loopback and has them judged.
 
+mod arrivals;
 mod bench;
 mod day;
 mod directors;
@@ -13,7 +14,6 @@
 mod play;
 mod plot;
 mod trouble;
-mod visits;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -269,7 +269,7 @@
         let title = format!("{name}, seed {}, {} directors", day.seed(), day.directors());
         plot::requests(path, &title, &[("with the door", &report), ("without", &without)])?;
     }
-    Ok(report.broken_rules.is_empty())
+    Ok(report.violations.is_empty())
 }
 
 /// The day without sharing, with turns alone, and with all that its settings have, for each number of directors.
@@ -293,14 +293,14 @@
             let begun = std::time::Instant::now();
             let report = emulator::run(&day, true)?;
             let took = begun.elapsed().as_secs_f64();
-            let bytes = report.said.1 as f64 / report.samples.len().max(1) as f64 / f64::from(count);
+            let bytes = report.peer_traffic.1 as f64 / report.samples.len().max(1) as f64 / f64::from(count);
             if let Some(line) = line {
                 lines[line].1.push((f64::from(count), bytes));
             }
             println!(
                 "{count:9}  {name:7}  {bytes:15.0}  {:10}  {:13}  {:.4}   {took:.2} s",
-                report.words,
-                report.failed_at.len(),
+                report.max_health_reports,
+                report.error_reply_times.len(),
                 report.service
             );
         }
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -16,12 +16,12 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
+use crate::arrivals::{self, Arrival};
 use crate::day::Day;
 use crate::directors::Directors;
 use crate::lists::Lists;
 use crate::net::{Net, Parties, Party};
 use crate::trouble;
-use crate::visits::{self, Visit};
 
 /// What came of a day.
 pub struct Played {
@@ -432,25 +432,25 @@
     found: &[(u16, SocketAddr)],
 ) -> Vec<(Duration, Script)> {
     let titles: Vec<&String> = headend.title.iter().filter_map(|t| t.name.as_ref()).collect();
-    let script = |(id, visit): (u64, Visit)| {
-        let title = titles.get(visit.title).map_or_else(String::new, |title| title.to_string());
-        let addresses = visit.directors.iter().filter_map(|&d| found.get(usize::from(d)));
-        let http = || visit.directors.iter().map(|&d| (d, directors.http(d))).collect();
+    let script = |(id, arrival): (u64, Arrival)| {
+        let title = titles.get(arrival.title).map_or_else(String::new, |title| title.to_string());
+        let addresses = arrival.directors.iter().filter_map(|&d| found.get(usize::from(d)));
+        let http = || arrival.directors.iter().map(|&d| (d, directors.http(d))).collect();
         let script = Script {
             id,
             directors: addresses.copied().collect(),
-            hls: visit.hls.then(http),
-            group: settings.group_names[visit.group].clone(),
+            hls: arrival.uses_hls.then(http),
+            group: settings.group_names[arrival.group].clone(),
             tracks: settings.titles.get(&title).map_or(1, |t| t.tracks),
             title,
-            top: visit.top,
-            setup_timeout: Duration::from_secs_f64(settings.setup_timeouts[visit.group].as_ms() / 1e3),
-            watch: Duration::from_secs_f64(visit.watch),
-            leaves_after: visit.leaves_after.map(Duration::from_secs_f64),
-            returns: visit.returns,
-            rejoin: Duration::from_secs_f64(visit.rejoin),
+            top: arrival.top_rung,
+            setup_timeout: Duration::from_secs_f64(settings.setup_timeouts[arrival.group].as_ms() / 1e3),
+            watch: Duration::from_secs_f64(arrival.watch_s),
+            leaves_after: arrival.leaves_after_s.map(Duration::from_secs_f64),
+            returns: arrival.max_retries,
+            rejoin: Duration::from_secs_f64(arrival.retry_delay_s),
         };
-        (Duration::from_secs_f64(visit.at), script)
+        (Duration::from_secs_f64(arrival.at_s), script)
     };
-    (0..).zip(visits::draw(day, settings)).map(script).collect()
+    (0..).zip(arrivals::draw(day, settings)).map(script).collect()
 }
--- a/crates/lab/src/plot.rs
+++ b/crates/lab/src/plot.rs
@@ -18,7 +18,7 @@
     let seconds = arms.iter().map(|(_, report)| day_length(report)).max().unwrap_or(1);
     for ((name, report), area) in arms.iter().zip(root.split_evenly((arms.len(), 1))) {
         let samples = &report.samples[..report.samples.len().min(seconds)];
-        let most = samples.iter().flat_map(|s| &s.asked).copied().max().unwrap_or(1).max(1) as f64;
+        let most = samples.iter().flat_map(|s| &s.requests).copied().max().unwrap_or(1).max(1) as f64;
         let mut chart = ChartBuilder::on(&area)
             .caption(format!("{title}: {name}"), ("sans-serif", 16))
             .margin(8)
@@ -39,7 +39,7 @@
             let points = |pick: &dyn Fn(&crate::emulator::Sample) -> u64| -> Vec<(f64, f64)> {
                 samples.iter().map(|s| (s.second as f64 + 0.5, (pick(s) as f64).max(1.0))).collect()
             };
-            let asked = points(&|s| s.asked[g]);
+            let asked = points(&|s| s.requests[g]);
             chart
                 .draw_series(DashedLineSeries::new(asked, 2, 3 + 4 * k as u32, color.stroke_width(1)))
                 .map_err(|e| say(&e))?
@@ -66,7 +66,7 @@
 
 /// The last second in which anybody asked for the first time.
 fn day_length(report: &Report) -> usize {
-    let asked = |s: &crate::emulator::Sample| s.asked.iter().any(|&n| n > 0);
+    let asked = |s: &crate::emulator::Sample| s.requests.iter().any(|&n| n > 0);
     report.samples.iter().rposition(asked).map_or(1, |i| i + 1)
 }
 
--- a/crates/lab/src/trouble.rs
+++ b/crates/lab/src/trouble.rs
@@ -7,7 +7,7 @@
 use ashglade_standin::Faults;
 use tokio::time::Instant;
 
-use crate::day::Kind;
+use crate::day::TroubleKind;
 use crate::day::schema::Trouble;
 use crate::play::Stage;
 
@@ -18,8 +18,10 @@
     let kind = trouble.kind();
     tokio::time::sleep_until(begun + Duration::from_secs_f64(trouble.at_s.unwrap_or(0.0))).await;
     let all = match kind {
-        Kind::OriginSlow => stage.fleet.nodes.iter().map(|n| n.spec.rack + 1).max().unwrap_or(0),
-        Kind::BalancerRoll | Kind::BalancerStall | Kind::PeerDown => stage.directors.all.len(),
+        TroubleKind::OriginSlow => stage.fleet.nodes.iter().map(|n| n.spec.rack + 1).max().unwrap_or(0),
+        TroubleKind::BalancerRoll | TroubleKind::BalancerStall | TroubleKind::PeerDown => {
+            stage.directors.all.len()
+        }
         _ => stage.fleet.nodes.len(),
     };
     let on: Vec<usize> = match trouble.on.is_empty() {
@@ -31,64 +33,64 @@
     };
     match kind {
         // Viewers are drawn with it.
-        Kind::Unset | Kind::Burst => {}
-        Kind::AnswerLost => {
+        TroubleKind::Unset | TroubleKind::Burst => {}
+        TroubleKind::AnswerLost => {
             faults(|f, _| f.answer_lost = true, size);
             tokio::time::sleep(span).await;
             faults(|f, _| f.answer_lost = false, size);
         }
-        Kind::Hang => {
+        TroubleKind::Hang => {
             faults(|f, _| f.hang = true, size);
             tokio::time::sleep(span).await;
             faults(|f, _| f.hang = false, size);
         }
-        Kind::FastErrors => {
+        TroubleKind::FastErrors => {
             faults(|f, size| f.errors = size, size);
             tokio::time::sleep(span).await;
             faults(|f, _| f.errors = 0.0, size);
         }
-        Kind::Reset => {
+        TroubleKind::Reset => {
             faults(|f, size| f.resets = size, size);
             tokio::time::sleep(span).await;
             faults(|f, _| f.resets = 0.0, size);
         }
-        Kind::Slow | Kind::Neighbour => {
+        TroubleKind::Slow | TroubleKind::Neighbour => {
             faults(|f, size| f.link_cut = size, size);
             tokio::time::sleep(span).await;
             faults(|f, _| f.link_cut = 1.0, size);
         }
-        Kind::ReportLate => {
+        TroubleKind::ReportLate => {
             faults(|f, _| f.reports_frozen = true, size);
             tokio::time::sleep(span).await;
             faults(|f, _| f.reports_frozen = false, size);
         }
-        Kind::SlowSetup => {
+        TroubleKind::SlowSetup => {
             faults(|f, size| f.delay = Duration::from_secs_f64(size / 1e3), size);
             tokio::time::sleep(span).await;
             faults(|f, _| f.delay = Duration::ZERO, size);
         }
-        Kind::SetupQueue => {
+        TroubleKind::SetupQueue => {
             let size = size / 1e3;
             faults(|f, size| (f.queue, f.delay) = (true, Duration::from_secs_f64(size)), size);
             tokio::time::sleep(span).await;
             faults(|f, _| (f.queue, f.delay) = (false, Duration::ZERO), size);
         }
-        Kind::Keeps => {
+        TroubleKind::Keeps => {
             faults(|f, size| f.keeps = Duration::from_secs_f64(size), size);
             tokio::time::sleep(span).await;
             faults(|f, _| f.keeps = Duration::ZERO, size);
         }
-        Kind::OriginSlow => {
+        TroubleKind::OriginSlow => {
             on.iter().for_each(|&rack| stage.fleet.cut_uplink(rack, size));
             tokio::time::sleep(span).await;
             on.iter().for_each(|&rack| stage.fleet.cut_uplink(rack, 1.0));
         }
-        Kind::DiscoveryStale => {
+        TroubleKind::DiscoveryStale => {
             stage.lists.set_stale(size);
             tokio::time::sleep(span).await;
             stage.lists.set_stale(0.0);
         }
-        Kind::Ageing => {
+        TroubleKind::Ageing => {
             for step in 1..=10 {
                 faults(
                     |f, size| f.delay = Duration::from_secs_f64(size / 1e3),
@@ -98,21 +100,21 @@
             }
             outage(&stage, &on, Duration::from_secs(2), true).await?;
         }
-        Kind::Vanish => outage(&stage, &on, span, true).await?,
-        Kind::Drain => {
+        TroubleKind::Vanish => outage(&stage, &on, span, true).await?,
+        TroubleKind::Drain => {
             for &i in &on {
                 told(&stage, i, NodeState::Draining, None, stage.notice).await?;
             }
             tokio::time::sleep(span).await;
             outage(&stage, &on, Duration::from_secs(1), false).await?;
         }
-        Kind::BalancerRoll => {
+        TroubleKind::BalancerRoll => {
             for &i in &on {
                 down(&stage, i, Duration::from_secs_f64(size), record).await?;
                 tokio::time::sleep(span / on.len().max(1) as u32).await;
             }
         }
-        Kind::PeerDown => {
+        TroubleKind::PeerDown => {
             for &i in &on {
                 stage.directors.kill(i as u16).await;
             }
@@ -121,7 +123,7 @@
                 stage.directors.start(i as u16, record).await?;
             }
         }
-        Kind::BalancerStall => {
+        TroubleKind::BalancerStall => {
             let from = stage.log.now();
             on.iter().for_each(|&i| stage.directors.pause(i as u16));
             tokio::time::sleep(span).await;
