--- a/crates/lab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -1,12 +1,12 @@
-//! Turns a day that the bench drew into one that is played on sockets: its troubles with their names, times and
-//! sizes, on a fleet that one machine can carry.
+//! Converts a day file of the bench into one that is played on sockets. Troubles keep their names, times and sizes; the
+//! rest is scaled to one machine.
 
 use std::fmt::Write as _;
 use std::path::Path;
 
 use serde::Deserialize;
 
-/// What is read of the bench's day file; times there are in microseconds.
+/// The parts of the bench's day file that are read. Its times are in microseconds.
 #[derive(Deserialize)]
 struct Drawn {
     length: f64,
@@ -16,6 +16,7 @@
     troubles: Vec<DrawnTrouble>,
 }
 
+/// A trouble in the bench's day file.
 #[derive(Deserialize)]
 struct DrawnTrouble {
     kind: String,
@@ -27,13 +28,14 @@
     on: Vec<u32>,
 }
 
+/// Reads the bench's day file and returns the converted day in text format.
 pub fn convert(path: &Path) -> Result<String, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let drawn: Drawn = serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))?;
     let nodes = drawn.servers.len().max(1);
     let directors = drawn.balancers.len().max(1);
     let template = include_str!("../../../days/bad-day.txtpb");
-    // Settings, viewers and lists are those of the day that is kept here; fleet and troubles are the drawn ones.
+    // Settings, viewers and lists are those of the template; fleet size, length and troubles come from the bench.
     let mut day = String::new();
     let mut skip = 0usize;
     for line in template.lines() {
@@ -74,7 +76,7 @@
         on.sort_unstable();
         on.dedup();
         if on.is_empty() && trouble.kind != "burst" && trouble.kind != "discovery_stale" {
-            // The bench draws a part of the fleet as it goes: a fifth of ours.
+            // The bench draws these targets at run time; use a fifth of the fleet instead.
             on = (0..of.div_ceil(5) as u32).collect();
         }
         let on: String = on.iter().map(|i| format!(" on: {i}")).collect();
--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -1,10 +1,10 @@
-//! Reading a day file and checking it.
+//! Reads and validates day files.
 
 use std::path::Path;
 
 use ashglade_settings::text::{self, Source, Trouble};
 
-/// The schema as generated types.
+/// Types generated from `day.proto`.
 pub mod schema {
     #![allow(clippy::all)]
     include!(concat!(env!("OUT_DIR"), "/ashglade.day.rs"));
@@ -15,17 +15,19 @@
 
 use crate::net::Parties;
 
+/// Encoded descriptors of `day.proto` and the schemas that it imports.
 pub const SCHEMA: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/schema.bin"));
 
-/// Directors and nodes go by numbers of 16 bits; how many a machine carries it tells itself.
+/// Maximum number of directors and of nodes in a kind: both are numbered with 16 bits.
 const MOST: f64 = 65_000.0;
 
-/// Reads a day; what is left out gets its usual value, what can't be played is an error.
+/// Reads a day file, fills in defaults and validates it.
 pub fn read(path: &Path) -> Result<Day, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     parse(&path.display().to_string(), &text).map_err(|e| e.to_string())
 }
 
+/// Parses a day from text; `file` names it in errors.
 pub fn parse(file: &str, text: &str) -> Result<Day, Trouble> {
     let (mut day, at) = text::read::<Day>(SCHEMA, "ashglade.day.Day", file, text)?;
     at.need("seed", day.seed)?;
@@ -69,6 +71,7 @@
     Ok(day)
 }
 
+/// Validates a group of viewers against the number of service groups and of directors.
 fn check_viewers(
     at: &Source,
     field: &str,
@@ -109,10 +112,11 @@
     Ok(())
 }
 
+/// Validates a fault and the party names in it.
 fn check_fault(at: &Source, field: &str, fault: &Fault, parties: &Parties) -> Result<(), Trouble> {
     let named = |list: &str, names: &[String]| {
         for (k, name) in names.iter().enumerate() {
-            if parties.named(name).is_none() {
+            if parties.resolve(name).is_none() {
                 let what = format!(
                     "{name:?} is nobody; as \"director 3\", \"node 5\", \"zone NAME\" or \"viewers\""
                 );
@@ -152,6 +156,7 @@
     at.within(&inside("size"), fault.size, from, to).map(drop)
 }
 
+/// Validates a trouble. `of` holds the numbers of nodes, racks and directors.
 fn check(at: &Source, i: usize, trouble: &schema::Trouble, of: (f64, f64, f64)) -> Result<(), Trouble> {
     let field = |name: &str| format!("trouble[{i}].{name}");
     at.within(&field("at_s"), trouble.at_s, 0.0, 3600.0)?;
--- a/crates/lab/src/directors.rs
+++ b/crates/lab/src/directors.rs
@@ -1,4 +1,4 @@
-//! Directors as processes of their own, each with settings and a box list of its own.
+//! Director processes, each with its own settings and node list.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -16,21 +16,23 @@
 
 use crate::day::{Day, SCHEMA};
 
+/// All directors of a day, running or not.
 pub struct Directors {
-    /// Number, address and folder.
+    /// Number, RTSP address and folder of each director.
     pub all: Vec<(u16, SocketAddr, PathBuf)>,
-    /// Bound and not listened at: a port stays its director's, also while that is down.
+    /// Sockets that are bound but not listening: they reserve each director's port while it is down.
     _ports: Vec<TcpSocket>,
-    /// The same for HLS.
+    /// By director: its HLS address, and the socket that reserves it.
     seconds: Vec<(SocketAddr, TcpSocket)>,
     running: Mutex<Vec<Option<Child>>>,
     log: Log,
-    /// Directors are broken so, on purpose.
+    /// Name of the fault to inject into the directors.
     pub defect: Option<String>,
 }
 
 impl Directors {
-    /// Writes settings for each director; none is started yet. Those that talk are told where each finds the others.
+    /// Reserves ports and writes the settings of each director; starts none. `peers` gives the addresses at which a
+    /// director reaches the others, if they communicate.
     pub fn prepare(
         day: &Day,
         out: &Path,
@@ -67,16 +69,17 @@
         Ok(Directors { all, _ports: ports, seconds, running, log, defect: None })
     }
 
-    /// Where a director serves HLS.
+    /// The address at which a director serves HLS.
     pub fn http(&self, number: u16) -> SocketAddr {
         self.seconds[usize::from(number)].0
     }
 
+    /// The settings file of a director.
     pub fn settings(&self, number: u16) -> Option<PathBuf> {
         Some(self.all.get(usize::from(number))?.2.join("headend.txtpb"))
     }
 
-    /// Starts a director, and waits until it listens.
+    /// Starts a director and waits up to 5 s until it listens.
     pub async fn start(&self, number: u16, record: bool) -> Result<(), String> {
         let Some((_, address, folder)) = self.all.get(usize::from(number)) else { return Ok(()) };
         let program = std::env::current_exe().map_err(|e| e.to_string())?;
@@ -109,11 +112,13 @@
         Err(format!("director {number} does not listen; see {}", path.display()))
     }
 
+    /// Replaces the child process of a director and returns the previous one.
     fn put(&self, number: u16, child: Option<Child>) -> Option<Child> {
         let mut running = self.running.lock().unwrap_or_else(|broken| broken.into_inner());
         std::mem::replace(running.get_mut(usize::from(number))?, child)
     }
 
+    /// The process id of a director, if it runs.
     pub fn pid(&self, number: u16) -> Option<u32> {
         let running = self.running.lock().unwrap_or_else(|broken| broken.into_inner());
         running.get(usize::from(number))?.as_ref()?.id()
@@ -125,7 +130,7 @@
         }
     }
 
-    /// Kills a director outright.
+    /// Kills a director with SIGKILL.
     pub async fn kill(&self, number: u16) {
         if let Some(mut child) = self.put(number, None) {
             self.log.saw(What::DirectorKilled { director: number });
@@ -133,16 +138,18 @@
         }
     }
 
+    /// Suspends a director with SIGSTOP.
     pub fn pause(&self, number: u16) {
         self.signal(number, Signal::SIGSTOP);
     }
 
+    /// Resumes a suspended director, and logs that it was stalled since `from` (seconds).
     pub fn resume(&self, number: u16, from: f64) {
         self.signal(number, Signal::SIGCONT);
         self.log.saw(What::DirectorStood { director: number, from });
     }
 
-    /// Tells all to stop and waits; true if each ended by itself and well.
+    /// Sends SIGTERM to all and waits up to `within` for each; true if all exited successfully.
     pub async fn stop(&self, within: std::time::Duration) -> bool {
         let mut well = true;
         for &(number, ..) in &self.all {
@@ -158,7 +165,7 @@
     }
 }
 
-/// The settings of one of the day's directors, as text.
+/// The settings of one of the day's directors in text format.
 pub fn headend(
     day: &Day,
     number: u16,
@@ -191,7 +198,7 @@
     text(headend, "ashglade.headend.Headend", SCHEMA)
 }
 
-/// A message in text format, by its name in a compiled schema.
+/// Formats a message as text. `name` is its full name in the compiled `schema`.
 pub fn text(message: &impl prost::Message, name: &str, schema: &[u8]) -> Result<String, String> {
     let pool = DescriptorPool::decode(schema).map_err(|e| e.to_string())?;
     let kind = pool.get_message_by_name(name).ok_or_else(|| format!("no schema of {name}"))?;
--- a/crates/lab/src/emulator/peers.rs
+++ b/crates/lab/src/emulator/peers.rs
@@ -107,7 +107,7 @@
     pub fn of(day: &Day) -> NetworkFaults {
         let parties: Parties = play::parties(day);
         let resolve =
-            |names: &[String]| names.iter().filter_map(|name| parties.named(name)).flatten().collect();
+            |names: &[String]| names.iter().filter_map(|name| parties.resolve(name)).flatten().collect();
         let loss = |fault: &Fault| DatagramLoss {
             from_s: fault.at_s.unwrap_or(0.0),
             to_s: fault.at_s.unwrap_or(0.0) + fault.for_s.unwrap_or(f64::INFINITY),
--- a/crates/lab/src/lists.rs
+++ b/crates/lab/src/lists.rs
@@ -1,4 +1,4 @@
-//! Box lists as directors get to see them: late, and later still where that is the day's trouble.
+//! Node list files of the directors, with the delays of discovery.
 
 use std::path::PathBuf;
 use std::sync::Mutex;
@@ -9,38 +9,41 @@
 use ashglade_settings::{Names, write_boxes};
 use ashglade_standin::Log;
 
+/// The node lists of all directors.
 pub struct Lists {
     names: Names,
     log: Log,
-    /// By director: its file and the list as last written.
+    /// By director: its file, and the list as last written.
     files: Mutex<Vec<(PathBuf, NodeList)>>,
-    /// How much later than usual lists come just now, in seconds.
+    /// Current extra delay of list updates, in seconds.
     stale: Mutex<f64>,
 }
 
 impl Lists {
-    /// By director: its folder, and the nodes as it finds them.
+    /// `of` holds, by director, its folder and the nodes with the addresses at which it reaches them.
     pub fn new(names: Names, log: Log, of: Vec<(PathBuf, Vec<NodeEntry>)>) -> Lists {
         let list = |entries| NodeList { generation: 1, entries };
         let files = of.into_iter().map(|(f, entries)| (f.join("boxes.txtpb"), list(entries))).collect();
         Lists { names, log, files: Mutex::new(files), stale: Mutex::new(0.0) }
     }
 
+    /// The current extra delay of list updates, in seconds.
     pub fn stale(&self) -> f64 {
         *self.stale.lock().unwrap_or_else(|broken| broken.into_inner())
     }
 
+    /// Sets the extra delay of list updates, in seconds.
     pub fn set_stale(&self, seconds: f64) {
         *self.stale.lock().unwrap_or_else(|broken| broken.into_inner()) = seconds;
     }
 
-    /// Writes all lists as they stand.
+    /// Writes all lists in their current state.
     pub fn write_all(&self) -> std::io::Result<()> {
         let files = self.files.lock().unwrap_or_else(|broken| broken.into_inner());
         files.iter().try_for_each(|(path, list)| put(path, &write_boxes(list, &self.names)))
     }
 
-    /// Tells every director that a node now stands so, and when it started if that is new.
+    /// Updates the state of a node in all lists, and its start time (milliseconds) if given.
     pub fn tell(&self, node: usize, standing: NodeState, started: Option<f64>) -> std::io::Result<()> {
         let mut files = self.files.lock().unwrap_or_else(|broken| broken.into_inner());
         for (director, (path, list)) in files.iter_mut().enumerate() {
@@ -59,7 +62,7 @@
     }
 }
 
-/// Replaces a file whole: no reader sees half of it.
+/// Replaces a file atomically, so that no reader sees a partial list.
 fn put(path: &std::path::Path, text: &str) -> std::io::Result<()> {
     let beside = path.with_extension("new");
     std::fs::write(&beside, text)?;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -5,7 +5,7 @@
 mod day;
 mod directors;
 mod emulator;
-mod fleet;
+mod fault_search;
 mod lists;
 mod matrix;
 mod measure;
@@ -142,7 +142,7 @@
             run(play_day(file, out, How { record, quiet, ..How::default() }))
         }
         Command::Fleet { file, out, record, quiet, seed, plays, defect } => match seed {
-            Some(seed) => run(fleet::draw_and_play(&file, &out, seed, plays, defect)),
+            Some(seed) => run(fault_search::search(&file, &out, seed, plays, defect)),
             None => run(play_day(file, out, How { record, quiet, relayed: true, defect })),
         },
         Command::Emulate { file, no_door, no_share, no_talk, directors, seed, json, plot } => {
@@ -166,7 +166,7 @@
             let _ = nix::sys::prctl::set_pdeathsig(nix::sys::signal::Signal::SIGKILL);
             tracing_subscriber::fmt().with_ansi(false).with_writer(std::io::stderr).init();
             run(async {
-                let defect = defect.as_deref().map(fleet::defect).transpose()?;
+                let defect = defect.as_deref().map(fault_search::injected_fault).transpose()?;
                 let served = ashglade_director::serve(Options { settings, record, defect });
                 served.await.map_err(|e| e.to_string())
             })
--- a/crates/lab/src/matrix.rs
+++ b/crates/lab/src/matrix.rs
@@ -1,5 +1,5 @@
-//! Each kind of trouble against each care of a service group, at each stage of a session: a short day for each cell,
-//! a few at a time, one line each.
+//! Plays a short day for each combination of a kind of trouble, a retry safety of the service groups and a phase of the
+//! sessions. Several days run at once; each gives one line.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use crate::day::{self, Day};
 use crate::play;
 
-/// Troubles as they are written in a day file, without their times.
+/// Kinds of trouble with their other fields, in the text format of day files, without times.
 pub const TROUBLES: [(&str, &str); 8] = [
     ("answer_lost", "on: 0 on: 1 on: 2"),
     ("hang", "on: 0 on: 1 on: 2"),
@@ -21,26 +21,29 @@
     ("drain", "on: 0 on: 1"),
     ("peer_down", "on: 0"),
 ];
+/// Retry safety of all service groups.
 pub const CARES: [&str; 3] = ["SAFE", "DEDUP", "FRAGILE"];
-/// When the trouble begins: before the first SETUP, or when sessions play.
+/// Phases of sessions, with the time at which the trouble starts in seconds.
 pub const STAGES: [(&str, f64); 2] = [("setting up", 0.2), ("playing", 2.0)];
 
-/// Cells played at once.
+/// Number of cells played concurrently.
 const AT_ONCE: usize = 6;
 
+/// The result of one combination.
 pub struct Cell {
     pub name: String,
     pub held: bool,
     pub counts: String,
 }
 
+/// The day of one cell, derived from a kept day.
 fn cell(kind: &str, more: &str, care: &str, at: f64) -> Result<Day, String> {
     let kept =
         include_str!("../../../days/bad-day.txtpb").lines().filter(|line| !line.starts_with("trouble"));
     let text = kept
         .collect::<Vec<_>>()
         .join("\n")
-        // Every group with this care; a fifth of the viewers leaves before it is answered.
+        // All groups get this retry safety; a fifth of the viewers leaves before being answered.
         .replace("care: FRAGILE", "care: SAFE")
         .replace("care: SAFE", &format!("care: {care} repeat_window_ms: 2500"))
         .replace("impatient: 0.02", "impatient: 0.2")
@@ -56,7 +59,7 @@
     day::parse("the matrix", &text).map_err(|e| e.to_string())
 }
 
-/// Plays the cells with these cares and stages.
+/// Plays all kinds of trouble with these retry safeties and phases.
 pub async fn play(out: &Path, cares: &[&str], stages: &[(&str, f64)]) -> Result<Vec<Cell>, String> {
     let places = Arc::new(Semaphore::new(AT_ONCE));
     let mut running = JoinSet::new();
--- a/crates/lab/src/net/mod.rs
+++ b/crates/lab/src/net/mod.rs
@@ -1,7 +1,7 @@
-//! The network between the processes of a day: every path between two parties goes through a relay here, so that it can be
-//! cut, slowed and heard. Faults start at times, or just before a message passes that is waited for.
+//! Relay network between the processes of a day. Every path between two parties passes through a relay in this process,
+//! which can cut, delay and observe it. Faults start at fixed times or just before a matching message passes.
 
-mod said;
+mod classify;
 mod tcp;
 mod udp;
 
@@ -17,18 +17,21 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-pub use crate::day::schema::{Deed, Fault, Said};
+pub use crate::day::schema::{Deed as FaultKind, Fault, Said as MessageKind};
 use crate::directors::Directors;
 
-/// Who speaks with whom.
+/// A communicating party.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Party {
+    /// All viewers together.
     Viewers,
+    /// A director, by number.
     Director(u16),
+    /// A media node, by index.
     Node(usize),
 }
 
-/// All parties of a day, for the names in its faults.
+/// All parties of a day; resolves the party names in faults.
 #[derive(Clone, Debug)]
 pub struct Parties {
     pub zones: Vec<String>,
@@ -37,21 +40,21 @@
 }
 
 impl Parties {
-    /// Those that a name stands for; none if it stands for nobody.
-    pub fn named(&self, name: &str) -> Option<BTreeSet<Party>> {
+    /// The parties that a name stands for; `None` if there are none.
+    pub fn resolve(&self, name: &str) -> Option<BTreeSet<Party>> {
         let directors = || (0..self.directors).map(Party::Director);
         let nodes = || (0..self.nodes).map(Party::Node);
-        let words: Vec<&str> = name.split_whitespace().collect();
-        // As settings deal them out: one after the other over the zones.
+        let parts: Vec<&str> = name.split_whitespace().collect();
+        // Directors and nodes are spread round-robin over the zones, as in the settings.
         let zone = |zone: &str| self.zones.iter().position(|known| known == zone);
-        let inside = |zone: usize| {
+        let in_zone = |zone: usize| {
             move |party: &Party| match *party {
                 Party::Director(d) => usize::from(d) % self.zones.len() == zone,
                 Party::Node(n) => n % self.zones.len() == zone,
                 Party::Viewers => false,
             }
         };
-        let found: BTreeSet<Party> = match words.as_slice() {
+        let found: BTreeSet<Party> = match parts.as_slice() {
             ["viewers"] => BTreeSet::from([Party::Viewers]),
             ["directors"] => directors().collect(),
             ["nodes"] => nodes().collect(),
@@ -59,9 +62,9 @@
                 directors().filter(|&d| Some(d) == n.parse().ok().map(Party::Director)).collect()
             }
             ["node", n] => nodes().filter(|&d| Some(d) == n.parse().ok().map(Party::Node)).collect(),
-            ["zone", name] => directors().chain(nodes()).filter(inside(zone(name)?)).collect(),
-            ["directors", "of", name] => directors().filter(inside(zone(name)?)).collect(),
-            ["nodes", "of", name] => nodes().filter(inside(zone(name)?)).collect(),
+            ["zone", name] => directors().chain(nodes()).filter(in_zone(zone(name)?)).collect(),
+            ["directors", "of", name] => directors().filter(in_zone(zone(name)?)).collect(),
+            ["nodes", "of", name] => nodes().filter(in_zone(zone(name)?)).collect(),
             _ => return None,
         };
         (!found.is_empty()).then_some(found)
@@ -72,252 +75,280 @@
         directors.chain((0..self.nodes).map(Party::Node)).chain([Party::Viewers]).collect()
     }
 
-    fn several(&self, names: &[String]) -> BTreeSet<Party> {
-        names.iter().filter_map(|name| self.named(name)).flatten().collect()
+    fn resolve_all(&self, names: &[String]) -> BTreeSet<Party> {
+        names.iter().filter_map(|name| self.resolve(name)).flatten().collect()
     }
 }
 
-/// A fault with its parties found.
+/// A fault with its party names resolved.
 #[derive(Clone, Debug)]
-struct Found {
+struct ResolvedFault {
+    /// Index of the fault in the day.
     number: usize,
-    deed: Deed,
+    kind: FaultKind,
     from: BTreeSet<Party>,
     to: BTreeSet<Party>,
+    /// Whether it also applies from `to` to `from`.
     both: bool,
+    /// Parameter of the fault; its unit depends on the kind (see `day.proto`).
     size: f64,
-    lasts: Option<Duration>,
+    /// How long it lasts; to the end of the day if `None`.
+    duration: Option<Duration>,
 }
 
-/// What a path does to what passes on it just now.
+/// The combined effect of all active faults on one path.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Link {
+pub struct LinkState {
     pub cut: bool,
     pub delay: Duration,
+    /// Probability that a datagram is lost.
     pub loss: f64,
-    pub double: f64,
+    /// Probability that a datagram is delivered twice.
+    pub duplicate: f64,
+    /// Maximum random additional delay of a datagram.
     pub reorder: Duration,
-    /// Bytes a second; endless if 0.
-    pub trickle: f64,
+    /// Throughput limit of a connection in bytes per second; 0 for none.
+    pub bytes_per_second: f64,
 }
 
-struct Waiting {
-    fault: Found,
-    said: Said,
+/// A fault that has not started yet, with the message that it waits for.
+struct PendingFault {
+    fault: ResolvedFault,
+    message: MessageKind,
     from: BTreeSet<Party>,
     to: BTreeSet<Party>,
-    left: u32,
+    /// Number of matching messages left until the fault starts; 0 if it starts at a fixed time.
+    messages_left: u32,
 }
 
 struct State {
-    active: Vec<Found>,
-    waiting: Vec<Waiting>,
+    /// Faults in effect on paths.
+    active: Vec<ResolvedFault>,
+    pending: Vec<PendingFault>,
+    /// Directors that are stopped by a fault.
     paused: BTreeSet<u16>,
     random: oorandom::Rand64,
-    /// By fault: how often it has started.
-    started: Vec<u32>,
-    over: bool,
+    /// By fault: number of times it has started.
+    start_counts: Vec<u32>,
+    /// Set when the day ends; no fault starts after that.
+    finished: bool,
 }
 
-pub struct Net {
+/// The relays and faults of a day.
+pub struct Network {
     state: Mutex<State>,
-    /// Told of each change of what is active.
+    /// Signals each change of the active faults.
     changed: watch::Sender<u64>,
     log: Log,
+    /// Decodes datagrams between directors; `None` without a secret.
     codec: Option<Codec>,
     directors: OnceLock<Arc<Directors>>,
-    /// Each director's own address for datagrams.
-    talks: Vec<SocketAddr>,
-    /// By sender and receiver: where the one finds the other.
-    paths: Vec<Vec<Arc<UdpSocket>>>,
+    /// Each director's own address for peer datagrams.
+    peer_addresses: Vec<SocketAddr>,
+    /// By sender and receiver: the relay socket at which the sender reaches the receiver.
+    peer_relays: Vec<Vec<Arc<UdpSocket>>>,
+    /// Whether restarted directors record their rounds.
     record: bool,
 }
 
-/// Ports on addresses of this process's own, so that nobody else's come in between while a director is down.
-fn talk_address(director: u16) -> SocketAddr {
+/// The peer address of a director: on a loopback address derived from this process's id, so that no other process takes
+/// the port while the director is down.
+fn peer_address(director: u16) -> SocketAddr {
     let pid = std::process::id();
     let [.., high, low] = pid.to_be_bytes();
     ([127, 64 + high % 128, low, 1 + (director % 250) as u8], 7000 + director / 250).into()
 }
 
-impl Net {
-    /// Opens the paths between directors. `secret` lets what they say be told apart.
+impl Network {
+    /// Opens the datagram relays between directors. Their messages are classified only if `secret` is given.
     pub async fn start(
         faults: &[Fault],
         parties: &Parties,
         (seed, secret, record): (u64, Option<&str>, bool),
         log: Log,
-    ) -> std::io::Result<Arc<Net>> {
+    ) -> std::io::Result<Arc<Network>> {
         let n = usize::from(parties.directors);
-        let mut paths = Vec::new();
+        let mut peer_relays = Vec::new();
         for _ in 0..n {
             let mut row = Vec::new();
             for _ in 0..n {
                 row.push(Arc::new(UdpSocket::bind("127.0.0.1:0").await?));
             }
-            paths.push(row);
+            peer_relays.push(row);
         }
-        let mut waiting = Vec::new();
+        let mut pending = Vec::new();
         for (number, fault) in faults.iter().enumerate() {
-            let from = parties.several(&fault.from);
+            let from = parties.resolve_all(&fault.from);
             let to = match fault.to.is_empty() {
                 true => parties.all().difference(&from).copied().collect(),
-                false => parties.several(&fault.to),
+                false => parties.resolve_all(&fault.to),
             };
-            let found = Found {
+            let resolved = ResolvedFault {
                 number,
-                deed: fault.deed(),
+                kind: fault.deed(),
                 from,
                 to,
                 both: fault.both.unwrap_or(false),
                 size: fault.size.unwrap_or(0.0),
-                lasts: fault.for_s.map(Duration::from_secs_f64),
+                duration: fault.for_s.map(Duration::from_secs_f64),
             };
             if let Some(when) = &fault.when {
-                let (from, to) = (parties.several(&when.from), parties.several(&when.to));
+                let (from, to) = (parties.resolve_all(&when.from), parties.resolve_all(&when.to));
                 let left = when.nth.unwrap_or(1).max(1);
-                waiting.push(Waiting { fault: found, said: when.said(), from, to, left });
+                pending.push(PendingFault {
+                    fault: resolved,
+                    message: when.said(),
+                    from,
+                    to,
+                    messages_left: left,
+                });
             } else {
-                // At a time: the same road, with a message that never comes.
-                waiting.push(Waiting {
-                    fault: found,
-                    said: Said::Anything,
+                // Starts at a fixed time: kept in the same list, with a count at which no message starts it.
+                pending.push(PendingFault {
+                    fault: resolved,
+                    message: MessageKind::Anything,
                     from: BTreeSet::new(),
                     to: BTreeSet::new(),
-                    left: 0,
+                    messages_left: 0,
                 });
             }
         }
         let random = oorandom::Rand64::new(u128::from(seed) << 3 | 5);
         let state = State {
             active: Vec::new(),
-            waiting,
+            pending,
             paused: BTreeSet::new(),
             random,
-            started: vec![0; faults.len()],
-            over: false,
+            start_counts: vec![0; faults.len()],
+            finished: false,
         };
-        let talks = (0..parties.directors).map(talk_address).collect();
-        let net = Arc::new(Net {
+        let peer_addresses = (0..parties.directors).map(peer_address).collect();
+        let net = Arc::new(Network {
             state: Mutex::new(state),
             changed: watch::channel(0).0,
             log,
             codec: secret.and_then(Codec::new),
             directors: OnceLock::new(),
-            talks,
-            paths,
+            peer_addresses,
+            peer_relays,
             record,
         });
         for (from, to) in (0..n).flat_map(|a| (0..n).map(move |b| (a, b))).filter(|(a, b)| a != b) {
-            tokio::spawn(udp::carry(net.clone(), from, to));
+            tokio::spawn(udp::relay_datagrams(net.clone(), from, to));
         }
         Ok(net)
     }
 
-    /// The peers that a director is told of: itself as it is, the others as their paths.
+    /// The peer addresses for a director's settings: its own, and a relay for each other director.
     pub fn peers(&self, director: u16) -> Vec<String> {
-        let me = usize::from(director);
-        let address = |to: usize| match to == me {
-            true => Some(self.talks[me]),
-            false => self.paths[me][to].local_addr().ok(),
+        let own = usize::from(director);
+        let address = |to: usize| match to == own {
+            true => Some(self.peer_addresses[own]),
+            false => self.peer_relays[own][to].local_addr().ok(),
         };
-        (0..self.talks.len()).filter_map(address).map(|address| address.to_string()).collect()
+        (0..self.peer_addresses.len()).filter_map(address).map(|address| address.to_string()).collect()
     }
 
-    /// A path on which `from` connects to `to`; its address.
-    pub async fn path(
-        self: &Arc<Net>,
+    /// Opens a TCP relay from `from` to `to`, which listens at `real`, and returns the relay's address.
+    pub async fn open_relay(
+        self: &Arc<Network>,
         from: Party,
         to: Party,
-        real: SocketAddr,
+        target: SocketAddr,
     ) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        tokio::spawn(tcp::accept(self.clone(), listener, from, to, real));
+        tokio::spawn(tcp::accept(self.clone(), listener, from, to, target));
         Ok(address)
     }
 
-    /// From here on faults may start; those that start at times do.
-    pub fn begin(self: &Arc<Net>, directors: Arc<Directors>, faults: &[Fault], begun: Instant) {
+    /// Allows faults to start and schedules those with fixed times, relative to `begun`.
+    pub fn start_faults(
+        self: &Arc<Network>,
+        directors: Arc<Directors>,
+        faults: &[Fault],
+        day_start: Instant,
+    ) {
         let _ = self.directors.set(directors);
         for (number, fault) in faults.iter().enumerate() {
             let Some(at) = fault.at_s else { continue };
             let net = self.clone();
             tokio::spawn(async move {
-                tokio::time::sleep_until(begun + Duration::from_secs_f64(at)).await;
-                if let Some(fault) = net.take(number) {
-                    net.cause(fault).await;
+                tokio::time::sleep_until(day_start + Duration::from_secs_f64(at)).await;
+                if let Some(fault) = net.take_pending(number) {
+                    net.start_fault(fault).await;
                 }
             });
         }
     }
 
-    /// A fault that waits no longer.
-    fn take(&self, number: usize) -> Option<Found> {
+    /// Removes a fault from those that wait.
+    fn take_pending(&self, number: usize) -> Option<ResolvedFault> {
         let mut state = self.state();
-        let at = state.waiting.iter().position(|waiting| waiting.fault.number == number)?;
-        Some(state.waiting.remove(at).fault)
+        let at = state.pending.iter().position(|pending| pending.fault.number == number)?;
+        Some(state.pending.remove(at).fault)
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    fn change(&self) {
+    fn notify_change(&self) {
         self.changed.send_modify(|n| *n += 1);
     }
 
-    pub fn link(&self, from: Party, to: Party) -> Link {
-        let mut link = Link::default();
+    /// The current effect of all active faults on the path from `from` to `to`.
+    pub fn link_state(&self, from: Party, to: Party) -> LinkState {
+        let mut link = LinkState::default();
         for fault in &self.state().active {
-            let this = fault.from.contains(&from) && fault.to.contains(&to);
-            let back = fault.both && fault.from.contains(&to) && fault.to.contains(&from);
-            if !this && !back {
+            let forward = fault.from.contains(&from) && fault.to.contains(&to);
+            let backward = fault.both && fault.from.contains(&to) && fault.to.contains(&from);
+            if !forward && !backward {
                 continue;
             }
-            let span = Duration::from_secs_f64(fault.size.clamp(0.0, 1e6) / 1e3);
-            match fault.deed {
-                Deed::Cut => link.cut = true,
-                Deed::Delay => link.delay = link.delay.max(span),
-                Deed::Loss => link.loss = link.loss.max(fault.size),
-                Deed::Double => link.double = link.double.max(fault.size),
-                Deed::Reorder => link.reorder = link.reorder.max(span),
-                Deed::Trickle => link.trickle = fault.size,
-                Deed::NoDeed | Deed::Kill | Deed::Stop => {}
+            let delay = Duration::from_secs_f64(fault.size.clamp(0.0, 1e6) / 1e3);
+            match fault.kind {
+                FaultKind::Cut => link.cut = true,
+                FaultKind::Delay => link.delay = link.delay.max(delay),
+                FaultKind::Loss => link.loss = link.loss.max(fault.size),
+                FaultKind::Double => link.duplicate = link.duplicate.max(fault.size),
+                FaultKind::Reorder => link.reorder = link.reorder.max(delay),
+                FaultKind::Trickle => link.bytes_per_second = fault.size,
+                FaultKind::NoDeed | FaultKind::Kill | FaultKind::Stop => {}
             }
         }
         link
     }
 
-    /// Waits until the path lets through again.
-    async fn healed(&self, from: Party, to: Party) {
+    /// Waits until the path is no longer cut, or the day ends.
+    async fn wait_until_healed(&self, from: Party, to: Party) {
         let mut changes = self.changed.subscribe();
-        while self.link(from, to).cut && !self.state().over {
+        while self.link_state(from, to).cut && !self.state().finished {
             if changes.changed().await.is_err() {
                 return;
             }
         }
     }
 
-    fn draw(&self) -> f64 {
+    fn random_fraction(&self) -> f64 {
         self.state().random.rand_float()
     }
 
-    /// A message is about to pass; faults that wait for it start before it does.
-    async fn passing(self: &Arc<Net>, said: Said, from: Party, to: Party) {
+    /// Starts the faults that wait for a message that is about to pass.
+    async fn before_message(self: &Arc<Network>, message: MessageKind, from: Party, to: Party) {
         let mut due = Vec::new();
         {
             let mut state = self.state();
-            state.waiting.retain_mut(|waiting| {
+            state.pending.retain_mut(|pending| {
                 let any = |set: &BTreeSet<Party>, party| set.is_empty() || set.contains(&party);
-                let this = waiting.left > 0
-                    && (waiting.said == said || waiting.said == Said::Anything)
-                    && any(&waiting.from, from)
-                    && any(&waiting.to, to);
-                if this {
-                    waiting.left -= 1;
-                    if waiting.left == 0 {
-                        due.push(waiting.fault.clone());
+                let is_match = pending.messages_left > 0
+                    && (pending.message == message || pending.message == MessageKind::Anything)
+                    && any(&pending.from, from)
+                    && any(&pending.to, to);
+                if is_match {
+                    pending.messages_left -= 1;
+                    if pending.messages_left == 0 {
+                        due.push(pending.fault.clone());
                         return false;
                     }
                 }
@@ -325,23 +356,23 @@
             });
         }
         for fault in due {
-            self.cause(fault).await;
+            self.start_fault(fault).await;
         }
     }
 
-    /// A fault starts; its end is seen to.
-    async fn cause(self: &Arc<Net>, fault: Found) {
+    /// Starts a fault and schedules its end.
+    async fn start_fault(self: &Arc<Network>, fault: ResolvedFault) {
         {
             let mut state = self.state();
-            if state.over {
+            if state.finished {
                 return;
             }
-            state.started[fault.number] += 1;
-            if !matches!(fault.deed, Deed::Kill | Deed::Stop) {
+            state.start_counts[fault.number] += 1;
+            if !matches!(fault.kind, FaultKind::Kill | FaultKind::Stop) {
                 state.active.push(fault.clone());
             }
         }
-        self.change();
+        self.notify_change();
         let directors: Vec<u16> = fault
             .from
             .iter()
@@ -353,34 +384,36 @@
         let Some(all) = self.directors.get().cloned() else { return };
         let from = self.log.now();
         for &director in &directors {
-            match fault.deed {
-                Deed::Kill => all.kill(director).await,
-                Deed::Stop => {
+            match fault.kind {
+                FaultKind::Kill => all.kill(director).await,
+                FaultKind::Stop => {
                     all.pause(director);
                     self.state().paused.insert(director);
                 }
                 _ => {}
             }
         }
-        let Some(lasts) = fault.lasts else { return };
+        let Some(duration) = fault.duration else { return };
         let net = self.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(lasts).await;
-            if net.state().over {
+            tokio::time::sleep(duration).await;
+            if net.state().finished {
                 return;
             }
-            match fault.deed {
-                Deed::Kill => {
+            match fault.kind {
+                FaultKind::Kill => {
                     for director in directors {
-                        // One that doesn't come back is seen by its viewers.
+                        // A failed restart shows in the viewers' traffic.
                         let _ = all.start(director, net.record).await;
                     }
                 }
-                Deed::Stop => directors.into_iter().for_each(|director| net.resume(&all, director, from)),
+                FaultKind::Stop => {
+                    directors.into_iter().for_each(|director| net.resume(&all, director, from))
+                }
                 _ => {
                     net.state().active.retain(|active| active.number != fault.number);
-                    net.change();
-                    net.excuse(&fault, from);
+                    net.notify_change();
+                    net.report_unreachable_directors(&fault, from);
                 }
             }
         });
@@ -392,8 +425,9 @@
         }
     }
 
-    /// Viewers whose path to a director was broken had no running director there.
-    fn excuse(&self, fault: &Found, from: f64) {
+    /// Reports directors that viewers could not reach because of a fault as stalled since `from`, so that the judge
+    /// doesn't count their requests as unanswered.
+    fn report_unreachable_directors(&self, fault: &ResolvedFault, from: f64) {
         let both = [(&fault.from, &fault.to), (&fault.to, &fault.from)];
         for (one, other) in both {
             if one.contains(&Party::Viewers) {
@@ -406,19 +440,19 @@
         }
     }
 
-    /// All faults are over, and none starts any more; by fault, whether it had started.
+    /// Ends all faults and prevents new ones. Returns, by fault, whether it had started.
     pub fn finish(&self) -> Vec<bool> {
         let (active, paused, started) = {
             let mut state = self.state();
-            state.over = true;
+            state.finished = true;
             let paused = std::mem::take(&mut state.paused);
-            (std::mem::take(&mut state.active), paused, state.started.clone())
+            (std::mem::take(&mut state.active), paused, state.start_counts.clone())
         };
-        self.change();
+        self.notify_change();
         if let Some(directors) = self.directors.get() {
             paused.into_iter().for_each(|director| directors.resume(director, 0.0));
         }
-        active.iter().for_each(|fault| self.excuse(fault, 0.0));
+        active.iter().for_each(|fault| self.report_unreachable_directors(fault, 0.0));
         started.into_iter().map(|times| times > 0).collect()
     }
 }
--- a/crates/lab/src/net/tcp.rs
+++ b/crates/lab/src/net/tcp.rs
@@ -1,5 +1,5 @@
-//! Connections, byte by byte in order. A cut holds what was sent, as a kernel that sends again would deliver it when the path
-//! heals; what a side that reset its connection had still under way is dropped, as a kernel does.
+//! TCP relays. While a path is cut, data is held back and delivered when the path heals, as TCP retransmission would.
+//! Data in flight from a side that reset its connection is dropped, as a kernel does.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,56 +11,58 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 
-use super::{Net, Party, Said, said};
+use super::{MessageKind, Network, Party, classify};
 
-const CHUNK: usize = 16 * 1024;
-/// What a lost segment costs: the least time after which a kernel sends again.
-const AGAIN: Duration = Duration::from_millis(200);
+const BUFFER_BYTES: usize = 16 * 1024;
+/// Delay of a lost segment: the minimum retransmission timeout of the Linux kernel.
+const RETRANSMIT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What is out on a connection to a node.
+/// The SETUP in flight on a connection to a node.
 #[derive(Default)]
-struct Out {
-    setup: Option<(u64, u32)>,
-    answered: bool,
+struct SetupInFlight {
+    viewer: Option<(u64, u32)>,
+    replied: bool,
 }
 
-pub async fn accept(net: Arc<Net>, listener: TcpListener, from: Party, to: Party, real: SocketAddr) {
+/// Accepts connections of a relay and carries each of them.
+pub async fn accept(net: Arc<Network>, listener: TcpListener, from: Party, to: Party, target: SocketAddr) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        tokio::spawn(carry(net.clone(), stream, from, to, real));
+        tokio::spawn(relay_connection(net.clone(), stream, from, to, target));
     }
 }
 
-async fn carry(net: Arc<Net>, near: TcpStream, from: Party, to: Party, real: SocketAddr) {
-    let _ = near.set_nodelay(true);
-    // A connection that was asked for over a path that is cut comes up, if it is still wanted, when that heals.
-    if net.link(from, to).cut {
+async fn relay_connection(net: Arc<Network>, client: TcpStream, from: Party, to: Party, target: SocketAddr) {
+    let _ = client.set_nodelay(true);
+    // A connection attempt over a cut path succeeds when the path heals, unless it was abandoned before.
+    if net.link_state(from, to).cut {
         tokio::select! {
-            () = net.healed(from, to) => {}
-            // Its first bytes don't matter: they wait in the kernel.
-            () = closed(&near) => return,
+            () = net.wait_until_healed(from, to) => {}
+            // Bytes that already arrived stay in the kernel's receive buffer.
+            () = wait_until_closed(&client) => return,
         }
     }
-    let Ok(far) = TcpStream::connect(real).await else {
-        let _ = near.set_zero_linger();
+    let Ok(server) = TcpStream::connect(target).await else {
+        let _ = client.set_zero_linger();
         return;
     };
-    let _ = far.set_nodelay(true);
-    let out = Mutex::new(Out::default());
-    let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
-    let there = pipe(&net, (from, to), near_in, far_out, &out);
-    let back = pipe(&net, (to, from), far_in, near_out, &out);
-    tokio::join!(there, back);
+    let _ = server.set_nodelay(true);
+    let in_flight = Mutex::new(SetupInFlight::default());
+    let ((client_reader, client_writer), (server_reader, server_writer)) =
+        (client.into_split(), server.into_split());
+    let forward = relay_direction(&net, (from, to), client_reader, server_writer, &in_flight);
+    let backward = relay_direction(&net, (to, from), server_reader, client_writer, &in_flight);
+    tokio::join!(forward, backward);
 }
 
-/// Until the other side of it has gone, however.
-async fn closed(stream: &TcpStream) {
-    let mut one = [0; 1];
+/// Waits until the remote side closes or resets the connection.
+async fn wait_until_closed(stream: &TcpStream) {
+    let mut byte = [0; 1];
     loop {
-        match stream.peek(&mut one).await {
+        match stream.peek(&mut byte).await {
             Ok(0) | Err(_) => return,
             Ok(_) => tokio::time::sleep(Duration::from_millis(20)).await,
         }
@@ -70,62 +72,68 @@
     }
 }
 
-/// One direction, to its end; then the other side is told of it, if the path lets that through.
-async fn pipe(
-    net: &Arc<Net>,
+/// Relays one direction until it ends, then passes the close or reset on once the path is not cut.
+async fn relay_direction(
+    net: &Arc<Network>,
     (from, to): (Party, Party),
-    mut reads: OwnedReadHalf,
-    mut writes: OwnedWriteHalf,
-    out: &Mutex<Out>,
+    mut reader: OwnedReadHalf,
+    mut writer: OwnedWriteHalf,
+    in_flight: &Mutex<SetupInFlight>,
 ) {
-    let mut bytes = vec![0; CHUNK];
+    let mut bytes = vec![0; BUFFER_BYTES];
     loop {
-        let read = reads.read(&mut bytes).await;
+        let read = reader.read(&mut bytes).await;
         let size = match read {
             Ok(size) if size > 0 => size,
-            ended => {
-                withdrawn(net, from, to, out);
-                net.healed(from, to).await;
-                if ended.is_err() {
-                    let _ = writes.as_ref().set_zero_linger();
+            end => {
+                report_cancelled(net, from, to, in_flight);
+                net.wait_until_healed(from, to).await;
+                if end.is_err() {
+                    let _ = writer.as_ref().set_zero_linger();
                 }
-                let _ = writes.shutdown().await;
+                let _ = writer.shutdown().await;
                 return;
             }
         };
-        heard(net, (from, to), &bytes[..size], out).await;
-        let link = net.link(from, to);
+        observe(net, (from, to), &bytes[..size], in_flight).await;
+        let link = net.link_state(from, to);
         if !link.delay.is_zero() {
             tokio::time::sleep(link.delay).await;
         }
-        if link.loss > 0.0 && net.draw() < link.loss {
-            tokio::time::sleep(AGAIN).await;
+        if link.loss > 0.0 && net.random_fraction() < link.loss {
+            tokio::time::sleep(RETRANSMIT_TIMEOUT).await;
         }
-        if link.trickle > 0.0 {
-            tokio::time::sleep(Duration::from_secs_f64((size as f64 / link.trickle).min(60.0))).await;
+        if link.bytes_per_second > 0.0 {
+            tokio::time::sleep(Duration::from_secs_f64((size as f64 / link.bytes_per_second).min(60.0)))
+                .await;
         }
-        if net.link(from, to).cut && !held(net, (from, to), &reads, out).await {
-            // Reset by its sender in the meantime: what was under way is gone.
-            let _ = writes.as_ref().set_zero_linger();
+        if net.link_state(from, to).cut && !hold_until_healed(net, (from, to), &reader, in_flight).await {
+            // The sender reset the connection in the meantime: data in flight is lost.
+            let _ = writer.as_ref().set_zero_linger();
             return;
         }
-        if writes.write_all(&bytes[..size]).await.is_err() {
+        if writer.write_all(&bytes[..size]).await.is_err() {
             return;
         }
     }
 }
 
-/// Waits with what was read until the path heals; false if its sender resets the connection before.
-async fn held(net: &Arc<Net>, (from, to): (Party, Party), reads: &OwnedReadHalf, out: &Mutex<Out>) -> bool {
+/// Waits until the path heals; returns false if the sender resets the connection first.
+async fn hold_until_healed(
+    net: &Arc<Network>,
+    (from, to): (Party, Party),
+    reader: &OwnedReadHalf,
+    in_flight: &Mutex<SetupInFlight>,
+) -> bool {
     let reset = async {
         loop {
             tokio::time::sleep(Duration::from_millis(10)).await;
-            if reads.as_ref().take_error().ok().flatten().is_some() {
+            if reader.as_ref().take_error().ok().flatten().is_some() {
                 return;
             }
-            let mut one = [0; 1];
+            let mut byte = [0; 1];
             if let Ok(Err(error)) =
-                tokio::time::timeout(Duration::from_millis(1), reads.as_ref().peek(&mut one)).await
+                tokio::time::timeout(Duration::from_millis(1), reader.as_ref().peek(&mut byte)).await
                 && error.kind() != std::io::ErrorKind::WouldBlock
             {
                 return;
@@ -133,47 +141,53 @@
         }
     };
     tokio::select! {
-        () = net.healed(from, to) => true,
+        () = net.wait_until_healed(from, to) => true,
         () = reset => {
-            withdrawn(net, from, to, out);
+            report_cancelled(net, from, to, in_flight);
             false
         }
     }
 }
 
-/// Tells faults that wait for it what passes.
-async fn heard(net: &Arc<Net>, (from, to): (Party, Party), bytes: &[u8], out: &Mutex<Out>) {
-    let said = {
-        let mut out = out.lock().unwrap_or_else(|broken| broken.into_inner());
+/// Classifies data that is about to pass and starts the faults that wait for it.
+async fn observe(
+    net: &Arc<Network>,
+    (from, to): (Party, Party),
+    bytes: &[u8],
+    in_flight: &Mutex<SetupInFlight>,
+) {
+    let kind = {
+        let mut in_flight = in_flight.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         match (from, to) {
             (Party::Director(_), Party::Node(_)) => {
-                let said = said::request(bytes);
-                if said == Some(Said::Setup)
-                    && let Some(viewer) = said::viewer(bytes)
+                let kind = classify::request_kind(bytes);
+                if kind == Some(MessageKind::Setup)
+                    && let Some(viewer) = classify::viewer_attempt(bytes)
                 {
-                    *out = Out { setup: Some(viewer), answered: false };
+                    *in_flight = SetupInFlight { viewer: Some(viewer), replied: false };
                 }
-                said
+                kind
             }
-            (Party::Node(_), Party::Director(_)) if out.setup.is_some() && !out.answered => {
-                out.answered = bytes.starts_with(b"RTSP/1.0 ");
-                out.answered.then_some(Said::Answer)
+            (Party::Node(_), Party::Director(_)) if in_flight.viewer.is_some() && !in_flight.replied => {
+                in_flight.replied = bytes.starts_with(b"RTSP/1.0 ");
+                in_flight.replied.then_some(MessageKind::Answer)
             }
-            (Party::Viewers, _) => said::request(bytes),
+            (Party::Viewers, _) => classify::request_kind(bytes),
             _ => None,
         }
     };
-    if let Some(said) = said {
-        net.passing(said, from, to).await;
+    if let Some(kind) = kind {
+        net.before_message(kind, from, to).await;
     }
 }
 
-/// The director's side of a connection has ended with a SETUP out on it: it is given up, whatever its node knows.
-fn withdrawn(net: &Net, from: Party, to: Party, out: &Mutex<Out>) {
-    let out = out.lock().unwrap_or_else(|broken| broken.into_inner());
-    if let (Party::Director(_), Party::Node(node), Some((viewer, again)), false) =
-        (from, to, out.setup, out.answered)
+/// Reports a SETUP as cancelled if the director closed its connection before the reply, whether or not the node has
+/// received that.
+fn report_cancelled(net: &Network, from: Party, to: Party, in_flight: &Mutex<SetupInFlight>) {
+    let in_flight = in_flight.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+    if let (Party::Director(_), Party::Node(node), Some((viewer, attempt)), false) =
+        (from, to, in_flight.viewer, in_flight.replied)
     {
-        net.log.saw(What::Withdrawn { node: format!("node-{node}"), viewer, again });
+        net.log.saw(What::Withdrawn { node: format!("node-{node}"), viewer, again: attempt });
     }
 }
--- a/crates/lab/src/net/udp.rs
+++ b/crates/lab/src/net/udp.rs
@@ -1,48 +1,50 @@
-//! Datagrams from one director to another.
+//! UDP relays between directors.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{Net, Party, said};
+use super::{Network, Party, classify};
 
-const LONGEST: usize = 64 * 1024;
+const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
-/// Carries what the one says to the other: it is heard where the one finds the other, and comes from where the other finds
-/// the one.
-pub async fn carry(net: Arc<Net>, from: usize, to: usize) {
-    let (hears, says) = (net.paths[from][to].clone(), net.paths[to][from].clone());
-    let (source, target) = (net.talks[from], net.talks[to]);
+/// Relays datagrams in one direction. They are received at the socket where the sender reaches the receiver, and sent
+/// from the socket where the receiver reaches the sender, as each director checks the source address of its peers.
+pub async fn relay_datagrams(net: Arc<Network>, from: usize, to: usize) {
+    let (receive_socket, send_socket) =
+        (net.peer_relays[from][to].clone(), net.peer_relays[to][from].clone());
+    let (source, target) = (net.peer_addresses[from], net.peer_addresses[to]);
     let parties = (Party::Director(from as u16), Party::Director(to as u16));
-    let mut bytes = vec![0; LONGEST];
+    let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        // An error tells that the other's port was closed when it was last sent to.
-        let Ok((size, sender)) = hears.recv_from(&mut bytes).await else { continue };
+        // An error reports that the peer's port was closed at an earlier send.
+        let Ok((size, sender)) = receive_socket.recv_from(&mut bytes).await else { continue };
         if sender != source {
             continue;
         }
         let datagram = net.codec.as_ref().and_then(|codec| codec.decode(&bytes[..size]).ok());
         if let Some(datagram) = &datagram {
-            net.passing(said::datagram(datagram), parties.0, parties.1).await;
+            net.before_message(classify::datagram_kind(datagram), parties.0, parties.1).await;
         }
-        let link = net.link(parties.0, parties.1);
-        let passes = !link.cut && (link.loss <= 0.0 || net.draw() >= link.loss);
-        if let Some(sight) = datagram.as_ref().and_then(|datagram| said::sight(datagram, passes)) {
-            net.log.saw(sight);
+        let link = net.link_state(parties.0, parties.1);
+        let delivered = !link.cut && (link.loss <= 0.0 || net.random_fraction() >= link.loss);
+        if let Some(event) = datagram.as_ref().and_then(|datagram| classify::judge_event(datagram, delivered))
+        {
+            net.log.saw(event);
         }
-        if !passes {
+        if !delivered {
             continue;
         }
-        let copies = if link.double > 0.0 && net.draw() < link.double { 2 } else { 1 };
+        let copies = if link.duplicate > 0.0 && net.random_fraction() < link.duplicate { 2 } else { 1 };
         for _ in 0..copies {
-            let chance = if link.reorder.is_zero() { 0.0 } else { net.draw() };
-            let wait = link.delay + Duration::from_secs_f64(link.reorder.as_secs_f64() * chance);
-            if wait.is_zero() {
-                let _ = says.send_to(&bytes[..size], target).await;
+            let fraction = if link.reorder.is_zero() { 0.0 } else { net.random_fraction() };
+            let delay = link.delay + Duration::from_secs_f64(link.reorder.as_secs_f64() * fraction);
+            if delay.is_zero() {
+                let _ = send_socket.send_to(&bytes[..size], target).await;
             } else {
-                let (says, bytes) = (says.clone(), bytes[..size].to_vec());
+                let (send_socket, bytes) = (send_socket.clone(), bytes[..size].to_vec());
                 tokio::spawn(async move {
-                    tokio::time::sleep(wait).await;
-                    let _ = says.send_to(&bytes, target).await;
+                    tokio::time::sleep(delay).await;
+                    let _ = send_socket.send_to(&bytes, target).await;
                 });
             }
         }
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -1,4 +1,4 @@
-//! Plays a day: nodes and viewers in this process, each director in one of its own.
+//! Plays a day on loopback sockets: nodes and viewers in this process, each director in a process of its own.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -20,54 +20,60 @@
 use crate::day::Day;
 use crate::directors::Directors;
 use crate::lists::Lists;
-use crate::net::{Net, Parties, Party};
+use crate::net::{Network, Parties, Party};
 use crate::trouble;
 
-/// What came of a day.
+/// The result of a day.
 pub struct Played {
+    /// The judge's verdict on the recorded traffic.
     pub verdict: Verdict,
+    /// Counters of the media that viewers received.
     pub media: Arc<Media>,
-    /// Sessions that nodes still held after all viewers and directors had gone.
+    /// Number of sessions that nodes still held after all viewers and directors had ended.
     pub orphans: usize,
-    /// Seconds for which nodes held sessions that nobody had.
+    /// Total time for which nodes held sessions without an owner, in seconds.
     pub orphaned: f64,
-    /// From SETUP to 200, as viewers saw it.
+    /// Summary of the times from SETUP to 200, as viewers measured them.
     pub times: String,
-    /// The first director's, over the day.
+    /// Summary of the first director's resident memory over the day.
     pub memory: String,
-    /// Directors ended by themselves and well.
+    /// Whether all directors exited successfully after SIGTERM.
     pub ended_well: bool,
-    /// By fault between parties: whether what it waited for came.
+    /// By fault between parties: whether it started.
     pub started: Vec<bool>,
 }
 
-/// What all parts of a day share.
+/// The running parts of a day, shared by the tasks that cause troubles.
 pub struct Stage {
     pub fleet: Arc<Fleet>,
     pub directors: Arc<Directors>,
     pub lists: Lists,
     pub log: Log,
+    /// Delay after which the node lists show an announced change.
     pub notice: Duration,
+    /// Delay after which the node lists show a process that ended without notice.
     pub silent_notice: Duration,
 }
 
-/// How a day is played.
+/// Options for playing a day.
 #[derive(Clone, Debug, Default)]
 pub struct How {
-    /// Directors write their rounds.
+    /// Directors record their rounds.
     pub record: bool,
+    /// Prints no progress.
     pub quiet: bool,
-    /// Every path between two parties goes through a relay, with the day's faults.
+    /// Routes every path between two parties through a relay, with the day's faults.
     pub relayed: bool,
-    /// Directors are broken so, on purpose.
+    /// Name of the fault to inject into the directors.
     pub defect: Option<String>,
 }
 
+/// Plays a day and judges its traffic. Settings, logs and traffic are written to `out`.
 pub async fn play(day: &Day, out: &Path, how: &How) -> Result<Played, String> {
     let How { record, quiet, .. } = *how;
     std::fs::create_dir_all(out).map_err(|e| format!("{}: {e}", out.display()))?;
     let headend = day.headend.clone().unwrap_or_default();
-    // The settings are checked as a director reads them, before anything starts.
+    // Validates the settings as a director reads them, before anything starts.
     let nobody = |_| Some((0..day.directors.unwrap_or(1)).map(|d| format!("127.0.0.1:{}", d + 1)).collect());
     let probe = Directors::prepare(day, out, scratch(out)?, nobody)?;
     let path = probe.settings(0).ok_or("a day needs a director")?;
@@ -95,7 +101,7 @@
     let net = if how.relayed {
         let secret = settings.talk.as_ref().map(|talk| talk.secret.as_str());
         let parties = parties(day);
-        let net = Net::start(&day.fault, &parties, (seed, secret, record), log.clone());
+        let net = Network::start(&day.fault, &parties, (seed, secret, record), log.clone());
         Some(net.await.map_err(trouble)?)
     } else {
         None
@@ -111,7 +117,7 @@
         let mut entries = entries.clone();
         if let Some(net) = &net {
             for (n, entry) in entries.iter_mut().enumerate() {
-                let path = net.path(Party::Director(*number), Party::Node(n), entry.address);
+                let path = net.open_relay(Party::Director(*number), Party::Node(n), entry.address);
                 entry.address = path.await.map_err(trouble)?;
                 (entry.http_address, entry.id) = (None, Some(entry.name.clone()));
             }
@@ -120,7 +126,7 @@
     }
     if let Some(net) = &net {
         for (number, address) in &mut found {
-            let path = net.path(Party::Viewers, Party::Director(*number), *address);
+            let path = net.open_relay(Party::Viewers, Party::Director(*number), *address);
             *address = path.await.map_err(trouble)?;
         }
     }
@@ -143,7 +149,7 @@
     let begun = Instant::now();
     let stalls = Stalls::watch();
     if let Some(net) = &net {
-        net.begin(stage.directors.clone(), &day.fault, begun);
+        net.start_faults(stage.directors.clone(), &day.fault, begun);
     }
     let media = Arc::new(Media::default());
     let mut troubles = JoinSet::new();
@@ -190,7 +196,7 @@
     Ok(Played { verdict, media, orphans, orphaned, times, memory, ended_well, started })
 }
 
-/// For how long this process got no turn at a time: what is seen then is seen late by so much.
+/// Measures the longest time for which this process was not scheduled: recorded times can be late by that much.
 struct Stalls(Arc<std::sync::atomic::AtomicU64>, tokio::task::JoinHandle<()>);
 
 impl Stalls {
@@ -215,7 +221,7 @@
     }
 }
 
-/// Resident memory of the first director, once a second.
+/// Resident memory of the first director in kB, sampled once a second with the time in seconds.
 #[derive(Default)]
 struct Memory(Vec<(u64, f64)>);
 
@@ -228,7 +234,7 @@
         }
     }
 
-    /// At the ends of the day's thirds: flat memory shows between the last two.
+    /// The samples at the ends of the three thirds of the day; without a leak the last two are alike.
     fn text(&self) -> String {
         let at = |part: usize| self.0.get((self.0.len() * part / 3).max(1) - 1);
         let one = |part| at(part).map_or(String::new(), |(s, kb)| format!("{kb:.0} kB after {s} s"));
@@ -236,6 +242,7 @@
     }
 }
 
+/// Summary of the times from SETUP to 200.
 fn times(log: &Log) -> String {
     let mut asked = std::collections::HashMap::new();
     let mut times = hdrhistogram::Histogram::<u64>::new(3).ok();
@@ -263,10 +270,10 @@
     })
 }
 
-/// Waits a moment for nodes to notice that connections are closed; the sessions that are left.
+/// Waits up to 7 s for the nodes to end all sessions and returns the number of sessions left.
 async fn settle(fleet: &Fleet) -> usize {
     let held = || fleet.nodes.iter().map(|node| node.held()).sum::<usize>();
-    // HLS sessions end by their quiet.
+    // HLS sessions end by an idle timeout.
     for _ in 0..280 {
         if held() == 0 {
             break;
@@ -287,6 +294,7 @@
     judge::judge(&Traffic { plan: plan.clone(), sights })
 }
 
+/// A log for runs whose traffic is not judged.
 pub fn scratch(out: &Path) -> Result<Log, String> {
     let empty = Plan {
         groups: Vec::new(),
@@ -303,7 +311,7 @@
     Log::create(&out.join("traffic.jsonl"), &empty).map_err(|e| e.to_string())
 }
 
-/// What all nodes of a day go by: uplinks of racks, the ladder's rates, the pace of cold ones.
+/// Settings that all nodes share: uplink capacity of each rack and rate of each rung in kB/s, and the cold start.
 pub fn terms(settings: &Settings) -> (Vec<f64>, Vec<f64>, ColdPace) {
     let head = &settings.headend;
     let uplink = if head.uplink_kb_per_s > 0.0 { head.uplink_kb_per_s } else { f64::INFINITY };
@@ -316,7 +324,7 @@
     (vec![uplink; head.rack_count.into()], head.ladder.iter().map(|&(kb, _)| kb).collect(), cold)
 }
 
-/// Nodes one after the other over zones and cells.
+/// The nodes of a day, spread round-robin over zones and cells.
 pub fn nodes(day: &Day, settings: &Settings) -> (Vec<Spec>, Vec<NodeEntry>) {
     let head = &settings.headend;
     let (mut specs, mut entries) = (Vec::new(), Vec::new());
@@ -351,6 +359,7 @@
     (specs, entries)
 }
 
+/// The plan from which the judge checks the day's traffic.
 fn plan(day: &Day, settings: &Settings) -> Plan {
     use ashglade::interface::{RetrySafety, RetryScope};
     let head = &settings.headend;
@@ -393,7 +402,7 @@
     }
 }
 
-/// What directors share, for the judge.
+/// Settings of the state that directors share, for the judge; `None` if they share none.
 fn shared(settings: &Settings) -> Option<judge::Shared> {
     let terms = ashglade_peer_transport::fleet_config(settings)?;
     let council = |home| terms.voters(home).into_iter().map(|director| director as u16).collect();
@@ -414,7 +423,7 @@
     })
 }
 
-/// The parties of a day, for the names in its faults.
+/// The parties of a day, to resolve the names in its faults.
 pub fn parties(day: &Day) -> Parties {
     Parties {
         zones: day.headend.as_ref().map_or_else(Vec::new, |headend| headend.zone.clone()),
@@ -423,7 +432,7 @@
     }
 }
 
-/// The day's viewers as scripts for sockets.
+/// Scripts for the viewers on sockets, each with its arrival time.
 fn scripts(
     day: &Day,
     settings: &Settings,
--- a/crates/lab/src/trouble.rs
+++ b/crates/lab/src/trouble.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, by the bench's names, brought about on real sockets and processes.
+//! Causes the troubles of a day on real sockets and processes. Their names and meanings are those of the bench.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,7 +32,7 @@
         on.iter().for_each(|&i| stage.fleet.set(i, |faults| change(faults, size)));
     };
     match kind {
-        // Viewers are drawn with it.
+        // Bursts are part of the drawn arrivals.
         TroubleKind::Unset | TroubleKind::Burst => {}
         TroubleKind::AnswerLost => {
             faults(|f, _| f.answer_lost = true, size);
@@ -133,7 +133,7 @@
     Ok(())
 }
 
-/// The list tells it, late as it is just now.
+/// Publishes a node's state in the node lists, after `after` and the current extra delay of the lists.
 async fn told(
     stage: &Stage,
     node: usize,
@@ -145,8 +145,8 @@
     stage.lists.tell(node, standing, started).map_err(|e| format!("a box list: {e}"))
 }
 
-/// Processes end and come back cold. What ends in silence is listed as gone only after a while, if it is not
-/// back before.
+/// Stops nodes and restarts them cold after `span`. Nodes that end without notice are listed as gone after the silent
+/// notice delay, unless they are back before.
 async fn outage(stage: &Arc<Stage>, on: &[usize], span: Duration, silent: bool) -> Result<(), String> {
     on.iter().for_each(|&i| stage.fleet.stop(i));
     if silent && span > stage.silent_notice {
@@ -165,6 +165,7 @@
     Ok(())
 }
 
+/// Kills a director and starts it again after `span`.
 async fn down(stage: &Stage, director: usize, span: Duration, record: bool) -> Result<(), String> {
     stage.directors.kill(director as u16).await;
     tokio::time::sleep(span).await;
