--- a/crates/lab/src/emulator/world.rs
+++ b/crates/lab/src/emulator/world.rs
@@ -127,7 +127,9 @@
 /// Plays the whole day. With `admission` false, the admission controller of the settings is disabled.
 pub fn run(day: &Day, admission: bool) -> Result<Report, String> {
     if let Some(at) = day.fault.iter().position(|fault| !peers::is_supported(fault)) {
-        return Err(format!("fault[{at}]: only CUT and LOSS at times, between directors, are emulated"));
+        return Err(format!(
+            "fault[{at}]: the emulator supports only CUT and LOSS between directors at fixed times"
+        ));
     }
     let mut world = World::new(day, admission)?;
     world.begin(day);
@@ -149,13 +151,14 @@
         for director in 0..count {
             // These addresses are placeholders: nothing is sent to them.
             let peers = (0..count).map(|peer| format!("127.0.0.1:{}", 1000 + peer)).collect();
-            let text = directors::headend(day, director, "127.0.0.1:554", "127.0.0.1:80", Some(peers))?;
+            let text =
+                directors::director_settings(day, director, "127.0.0.1:554", "127.0.0.1:80", Some(peers))?;
             let mut settings = ashglade_settings::settings("headend", &text).map_err(|e| e.to_string())?;
             settings.door = settings.door.filter(|_| admission);
             director_configs.push((ashglade_director::replay_start(&settings), PeerState::new(&settings)));
             first.get_or_insert(settings);
         }
-        let settings = first.ok_or("a day needs a director")?;
+        let settings = first.ok_or("the day has no directors")?;
         let named = day.headend.iter().flat_map(|h| &h.title).filter_map(|t| t.name.as_ref());
         let titles = named.filter_map(|name| settings.titles.get(name)).cloned().collect();
         let (node_specs, entries) = play::nodes(day, &settings);
@@ -166,7 +169,7 @@
             .enumerate()
             .map(|(i, entry)| NodeEntry { address: (loopback_address(i), 554).into(), ..entry })
             .collect();
-        let (uplinks, ladder, cold) = play::terms(&settings);
+        let (uplinks, ladder, cold) = play::shared_node_settings(&settings);
         let seed = day.seed.unwrap_or(0);
         let mut pending_arrivals = arrivals::draw(day, &settings);
         pending_arrivals.reverse();
--- a/crates/lab/src/fault_search.rs
+++ b/crates/lab/src/fault_search.rs
@@ -8,7 +8,7 @@
 
 use crate::day;
 use crate::day::schema::{Day, Deed as FaultKind, Fault, Passing as MessageTrigger, Said as MessageKind};
-use crate::play::{self, How, Played};
+use crate::play::{self, PlayOptions, PlayResult};
 
 /// The fault to inject into directors, by its name on the command line.
 pub fn injected_fault(name: &str) -> Result<InjectedFault, String> {
@@ -16,7 +16,7 @@
         "no-rest" => Ok(InjectedFault::NoGuardInterval),
         "from-answer" => Ok(InjectedFault::LeaseFromReply),
         "twice" => Ok(InjectedFault::DoubleGrant),
-        _ => Err(format!("{name:?} is no defect; there is no-rest, from-answer, twice")),
+        _ => Err(format!("{name:?} is not a known defect; known are no-rest, from-answer, twice")),
     }
 }
 
@@ -30,7 +30,7 @@
     defect: Option<String>,
 ) -> Result<bool, String> {
     let day = day::read(file)?;
-    let options = How { record: false, quiet: true, relayed: true, defect };
+    let options = PlayOptions { record: false, quiet: true, relayed: true, defect };
     for seed in seed..seed + plays {
         let drawn = Day { seed: Some(seed), fault: draw_faults(&day, seed), ..day.clone() };
         let folder = out.join(format!("seed-{seed}"));
@@ -56,7 +56,7 @@
 }
 
 /// The reason why a run failed, if it did.
-fn failure(played: &Played) -> Option<String> {
+fn failure(played: &PlayResult) -> Option<String> {
     let broken = played.verdict.findings.iter().find(|finding| !finding.broken.is_empty());
     if let Some(finding) = broken {
         return Some(format!("rule {} BROKEN: {}", finding.rule, finding.broken[0].what));
@@ -65,7 +65,7 @@
 }
 
 /// Removes faults one by one as long as the day still fails.
-async fn minimize(mut day: Day, folder: &Path, options: &How) -> Result<Day, String> {
+async fn minimize(mut day: Day, folder: &Path, options: &PlayOptions) -> Result<Day, String> {
     let mut at = 0;
     while at < day.fault.len() && day.fault.len() > 1 {
         let mut reduced = day.clone();
@@ -80,7 +80,7 @@
 }
 
 fn write(day: &Day, path: &PathBuf) -> Result<(), String> {
-    let text = crate::directors::text(day, "ashglade.day.Day", day::SCHEMA)?;
+    let text = crate::directors::to_text_format(day, "ashglade.day.Day", day::SCHEMA)?;
     std::fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
--- a/crates/lab/src/lists.rs
+++ b/crates/lab/src/lists.rs
@@ -10,52 +10,55 @@
 use ashglade_standin::Log;
 
 /// The node lists of all directors.
-pub struct Lists {
+pub struct NodeLists {
     names: Names,
     log: Log,
     /// By director: its file, and the list as last written.
     files: Mutex<Vec<(PathBuf, NodeList)>>,
     /// Current extra delay of list updates, in seconds.
-    stale: Mutex<f64>,
+    extra_delay_s: Mutex<f64>,
 }
 
-impl Lists {
+impl NodeLists {
     /// `of` holds, by director, its folder and the nodes with the addresses at which it reaches them.
-    pub fn new(names: Names, log: Log, of: Vec<(PathBuf, Vec<NodeEntry>)>) -> Lists {
+    pub fn new(names: Names, log: Log, folders_and_nodes: Vec<(PathBuf, Vec<NodeEntry>)>) -> NodeLists {
         let list = |entries| NodeList { generation: 1, entries };
-        let files = of.into_iter().map(|(f, entries)| (f.join("boxes.txtpb"), list(entries))).collect();
-        Lists { names, log, files: Mutex::new(files), stale: Mutex::new(0.0) }
+        let files = folders_and_nodes
+            .into_iter()
+            .map(|(folder, entries)| (folder.join("boxes.txtpb"), list(entries)))
+            .collect();
+        NodeLists { names, log, files: Mutex::new(files), extra_delay_s: Mutex::new(0.0) }
     }
 
     /// The current extra delay of list updates, in seconds.
-    pub fn stale(&self) -> f64 {
-        *self.stale.lock().unwrap_or_else(|broken| broken.into_inner())
+    pub fn extra_delay(&self) -> f64 {
+        *self.extra_delay_s.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     /// Sets the extra delay of list updates, in seconds.
-    pub fn set_stale(&self, seconds: f64) {
-        *self.stale.lock().unwrap_or_else(|broken| broken.into_inner()) = seconds;
+    pub fn set_extra_delay(&self, seconds: f64) {
+        *self.extra_delay_s.lock().unwrap_or_else(|poisoned| poisoned.into_inner()) = seconds;
     }
 
     /// Writes all lists in their current state.
     pub fn write_all(&self) -> std::io::Result<()> {
-        let files = self.files.lock().unwrap_or_else(|broken| broken.into_inner());
-        files.iter().try_for_each(|(path, list)| put(path, &write_boxes(list, &self.names)))
+        let files = self.files.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        files.iter().try_for_each(|(path, list)| replace_file(path, &write_boxes(list, &self.names)))
     }
 
     /// Updates the state of a node in all lists, and its start time (milliseconds) if given.
-    pub fn tell(&self, node: usize, standing: NodeState, started: Option<f64>) -> std::io::Result<()> {
-        let mut files = self.files.lock().unwrap_or_else(|broken| broken.into_inner());
+    pub fn update(&self, node: usize, state: NodeState, started_ms: Option<f64>) -> std::io::Result<()> {
+        let mut files = self.files.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         for (director, (path, list)) in files.iter_mut().enumerate() {
             let Some(entry) = list.entries.get_mut(node) else { continue };
-            entry.state = standing;
-            if let Some(started) = started {
-                entry.info.started = Some(Instant::from_ms(started.floor()));
+            entry.state = state;
+            if let Some(started_ms) = started_ms {
+                entry.info.started = Some(Instant::from_ms(started_ms.floor()));
             }
             let node = entry.name.clone();
             list.generation += 1;
-            put(path, &write_boxes(list, &self.names))?;
-            let (director, ready) = (director as u16, standing == NodeState::Ready);
+            replace_file(path, &write_boxes(list, &self.names))?;
+            let (director, ready) = (director as u16, state == NodeState::Ready);
             self.log.saw(What::Listed { director, node, ready });
         }
         Ok(())
@@ -63,8 +66,8 @@
 }
 
 /// Replaces a file atomically, so that no reader sees a partial list.
-fn put(path: &std::path::Path, text: &str) -> std::io::Result<()> {
-    let beside = path.with_extension("new");
-    std::fs::write(&beside, text)?;
-    std::fs::rename(&beside, path)
+fn replace_file(path: &std::path::Path, text: &str) -> std::io::Result<()> {
+    let temporary = path.with_extension("new");
+    std::fs::write(&temporary, text)?;
+    std::fs::rename(&temporary, path)
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -22,7 +22,7 @@
 use ashglade_director::Options;
 use clap::{Parser, Subcommand};
 
-use crate::play::How;
+use crate::play::PlayOptions;
 
 #[derive(Parser)]
 #[command(name = "ashglade-lab", version, about = "Plays days against real directors and judges them")]
@@ -137,13 +137,13 @@
 }
 
 fn main() -> ExitCode {
-    let done = match Args::parse().command {
+    let result = match Args::parse().command {
         Command::Day { file, out, record, quiet } => {
-            run(play_day(file, out, How { record, quiet, ..How::default() }))
+            run(play_day(file, out, PlayOptions { record, quiet, ..PlayOptions::default() }))
         }
         Command::Fleet { file, out, record, quiet, seed, plays, defect } => match seed {
             Some(seed) => run(fault_search::search(&file, &out, seed, plays, defect)),
-            None => run(play_day(file, out, How { record, quiet, relayed: true, defect })),
+            None => run(play_day(file, out, PlayOptions { record, quiet, relayed: true, defect })),
         },
         Command::Emulate { file, no_door, no_share, no_talk, directors, seed, json, plot } => {
             let without = Without { door: no_door, share: no_share, talk: no_talk };
@@ -173,7 +173,7 @@
             .map(|()| true)
         }
     };
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(error) => {
@@ -185,17 +185,17 @@
 
 fn run<T>(work: impl Future<Output = Result<T, String>>) -> Result<T, String> {
     let runtime = tokio::runtime::Runtime::new().map_err(|e| e.to_string())?;
-    let done = runtime.block_on(work);
+    let result = runtime.block_on(work);
     runtime.shutdown_background();
-    done
+    result
 }
 
-async fn play_day(file: PathBuf, out: PathBuf, how: How) -> Result<bool, String> {
+async fn play_day(file: PathBuf, out: PathBuf, options: PlayOptions) -> Result<bool, String> {
     let day = day::read(&file)?;
-    if !how.relayed && !day.fault.is_empty() {
+    if !options.relayed && !day.fault.is_empty() {
         return Err(format!("{}: has faults between parties; play it with `fleet`", file.display()));
     }
-    let played = play::play(&day, &out, &how).await?;
+    let played = play::play(&day, &out, &options).await?;
     let media = &played.media;
     let count = |n: &std::sync::atomic::AtomicU64| n.load(Ordering::Relaxed);
     let report = format!(
@@ -210,19 +210,23 @@
         count(&media.segments),
         count(&media.stalled_ms) as f64 / 1e3,
         played.orphans,
-        played.orphaned,
-        if played.ended_well { "ended well" } else { "did not end well" },
-        played.times,
+        played.orphaned_s,
+        if played.clean_exit { "ended well" } else { "did not end well" },
+        played.setup_times,
         played.memory,
     );
-    let waits = played.started.iter().enumerate().filter(|(_, started)| !**started);
-    let waits: String = waits.map(|(i, _)| format!("fault[{i}] never started\n")).collect();
-    let report = report + &waits;
+    let not_started = played.faults_started.iter().enumerate().filter(|(_, started)| !**started);
+    let not_started: String = not_started.map(|(i, _)| format!("fault[{i}] never started\n")).collect();
+    let report = report + &not_started;
     print!("{report}");
     let path = out.join("report.txt");
     std::fs::write(&path, &report).map_err(|e| format!("{}: {e}", path.display()))?;
     let continuous = count(&media.foreign) == 0 && count(&media.backward) == 0;
-    Ok(played.verdict.held() && played.orphans == 0 && played.ended_well && continuous && waits.is_empty())
+    Ok(played.verdict.held()
+        && played.orphans == 0
+        && played.clean_exit
+        && continuous
+        && not_started.is_empty())
 }
 
 /// What an emulated day is played without.
@@ -249,15 +253,15 @@
             talk.share = None;
         }
     }
-    let begun = std::time::Instant::now();
+    let start = std::time::Instant::now();
     let report = emulator::run(&day, !without.door)?;
-    let took = begun.elapsed().as_secs_f64();
+    let elapsed_s = start.elapsed().as_secs_f64();
     print!("{report}");
     println!(
-        "{} s in {took:.2} s; {:.0} events a second, {:.0} rounds a second",
+        "{} s in {elapsed_s:.2} s; {:.0} events a second, {:.0} rounds a second",
         report.samples.len(),
-        report.events as f64 / took,
-        report.rounds as f64 / took
+        report.events as f64 / elapsed_s,
+        report.rounds as f64 / elapsed_s
     );
     if let Some(path) = json {
         let text = serde_json::to_string(&report).map_err(|e| e.to_string())?;
@@ -290,15 +294,15 @@
                     talk.share = None;
                 }
             }
-            let begun = std::time::Instant::now();
+            let start = std::time::Instant::now();
             let report = emulator::run(&day, true)?;
-            let took = begun.elapsed().as_secs_f64();
+            let elapsed_s = start.elapsed().as_secs_f64();
             let bytes = report.peer_traffic.1 as f64 / report.samples.len().max(1) as f64 / f64::from(count);
             if let Some(line) = line {
                 lines[line].1.push((f64::from(count), bytes));
             }
             println!(
-                "{count:9}  {name:7}  {bytes:15.0}  {:10}  {:13}  {:.4}   {took:.2} s",
+                "{count:9}  {name:7}  {bytes:15.0}  {:10}  {:13}  {:.4}   {elapsed_s:.2} s",
                 report.max_health_reports,
                 report.error_reply_times.len(),
                 report.service
@@ -310,12 +314,12 @@
 }
 
 async fn play_matrix(out: PathBuf, short: bool) -> Result<bool, String> {
-    let (cares, stages) = if short {
-        (&matrix::CARES[2..], &matrix::STAGES[..1])
+    let (retry_safeties, phases) = if short {
+        (&matrix::RETRY_SAFETIES[2..], &matrix::PHASES[..1])
     } else {
-        (&matrix::CARES[..], &matrix::STAGES[..])
+        (&matrix::RETRY_SAFETIES[..], &matrix::PHASES[..])
     };
-    let cells = matrix::play(&out, cares, stages).await?;
+    let cells = matrix::play(&out, retry_safeties, phases).await?;
     for cell in &cells {
         println!("{} {} {}", cell.name, if cell.held { "held  " } else { "BROKEN" }, cell.counts);
     }
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -20,7 +20,7 @@
 
 use crate::day;
 use crate::directors::Directors;
-use crate::lists::Lists;
+use crate::lists::NodeLists;
 use crate::play;
 
 /// SETUPs timed on each way, sessions held idle, and for how long bytes are relayed.
@@ -245,9 +245,9 @@
         .replace("care: SAFE\n    seats: 12", "care: SAFE")
         .replace("seconds: 30\ndirectors: 2", "seconds: 30\ndirectors: 1");
     let day = day::parse("the kept day", &text).map_err(|e| e.to_string())?;
-    let log = play::scratch(out)?;
+    let log = play::unjudged_log(out)?;
     let directors = Directors::prepare(&day, out, log.clone(), |_| None)?;
-    let path = directors.settings(0).ok_or("no director")?;
+    let path = directors.settings(0).ok_or("the director is not running")?;
     let settings = std::fs::read_to_string(&path).map_err(|e| e.to_string())?;
     let settings = ashglade_settings::settings("settings", &settings).map_err(|e| e.to_string())?;
     let spec = |i| Spec { name: format!("node-{i}"), rack: 0, places: 100_000, link: 1e9, guard: false };
@@ -268,7 +268,7 @@
         .collect();
     let folders: Vec<_> = directors.all.iter().map(|(.., f)| f.clone()).collect();
     let of = folders.iter().map(|folder| (folder.clone(), entries.clone())).collect();
-    Lists::new(settings.names.clone(), log.clone(), of).write_all().map_err(|e| e.to_string())?;
+    NodeLists::new(settings.names.clone(), log.clone(), of).write_all().map_err(|e| e.to_string())?;
     directors.start(0, false).await?;
     Ok(Set { directors, fleet, lists: (folders, entries, settings.names.clone()), log })
 }
@@ -276,7 +276,7 @@
 pub async fn measure(out: &Path) -> Result<(), String> {
     let Set { directors, fleet, lists: (folders, mut entries, names), log } = set(out).await?;
     let (_, door, _) = directors.all[0];
-    let pid = directors.pid(0).ok_or("the director is gone")?;
+    let pid = directors.pid(0).ok_or("the director is not running")?;
 
     println!("door: {:.0} ns a request, {:.0} ns with 1,000 waiting", door_cost(0), door_cost(1000));
     let straight = setups(fleet.nodes[0].address, "renewal/r0").await?;
@@ -318,7 +318,7 @@
         (entry.address, entry.state) = (hose, ashglade_discovery::NodeState::Ready);
     }
     let of = folders.into_iter().map(|folder| (folder, entries.clone())).collect();
-    Lists::new(names.clone(), log, of).write_all().map_err(|e| e.to_string())?;
+    NodeLists::new(names.clone(), log, of).write_all().map_err(|e| e.to_string())?;
     directors.start(0, false).await?;
     let program = std::env::current_exe().map_err(|e| e.to_string())?;
     let mut copier = tokio::process::Command::new(program)
--- a/crates/lab/src/measure_hls.rs
+++ b/crates/lab/src/measure_hls.rs
@@ -27,8 +27,8 @@
 pub async fn measure(out: &Path, sessions: usize) -> Result<(), String> {
     rewriting()?;
     let set = measure::set(out).await?;
-    let director = set.directors.http(0);
-    let pid = set.directors.pid(0).ok_or("the director is gone")?;
+    let director = set.directors.hls_address(0);
+    let pid = set.directors.pid(0).ok_or("the director is not running")?;
     let (_, idle) = usage(pid)?;
     let begun = Instant::now();
     let mut players = JoinSet::new();
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -19,12 +19,12 @@
 use crate::arrivals::{self, Arrival};
 use crate::day::Day;
 use crate::directors::Directors;
-use crate::lists::Lists;
+use crate::lists::NodeLists;
 use crate::net::{Network, Parties, Party};
 use crate::trouble;
 
 /// The result of a day.
-pub struct Played {
+pub struct PlayResult {
     /// The judge's verdict on the recorded traffic.
     pub verdict: Verdict,
     /// Counters of the media that viewers received.
@@ -32,22 +32,22 @@
     /// Number of sessions that nodes still held after all viewers and directors had ended.
     pub orphans: usize,
     /// Total time for which nodes held sessions without an owner, in seconds.
-    pub orphaned: f64,
+    pub orphaned_s: f64,
     /// Summary of the times from SETUP to 200, as viewers measured them.
-    pub times: String,
+    pub setup_times: String,
     /// Summary of the first director's resident memory over the day.
     pub memory: String,
     /// Whether all directors exited successfully after SIGTERM.
-    pub ended_well: bool,
+    pub clean_exit: bool,
     /// By fault between parties: whether it started.
-    pub started: Vec<bool>,
+    pub faults_started: Vec<bool>,
 }
 
 /// The running parts of a day, shared by the tasks that cause troubles.
-pub struct Stage {
+pub struct PlayContext {
     pub fleet: Arc<Fleet>,
     pub directors: Arc<Directors>,
-    pub lists: Lists,
+    pub lists: NodeLists,
     pub log: Log,
     /// Delay after which the node lists show an announced change.
     pub notice: Duration,
@@ -57,7 +57,7 @@
 
 /// Options for playing a day.
 #[derive(Clone, Debug, Default)]
-pub struct How {
+pub struct PlayOptions {
     /// Directors record their rounds.
     pub record: bool,
     /// Prints no progress.
@@ -69,27 +69,28 @@
 }
 
 /// Plays a day and judges its traffic. Settings, logs and traffic are written to `out`.
-pub async fn play(day: &Day, out: &Path, how: &How) -> Result<Played, String> {
-    let How { record, quiet, .. } = *how;
+pub async fn play(day: &Day, out: &Path, options: &PlayOptions) -> Result<PlayResult, String> {
+    let PlayOptions { record, quiet, .. } = *options;
     std::fs::create_dir_all(out).map_err(|e| format!("{}: {e}", out.display()))?;
     let headend = day.headend.clone().unwrap_or_default();
     // Validates the settings as a director reads them, before anything starts.
-    let nobody = |_| Some((0..day.directors.unwrap_or(1)).map(|d| format!("127.0.0.1:{}", d + 1)).collect());
-    let probe = Directors::prepare(day, out, scratch(out)?, nobody)?;
-    let path = probe.settings(0).ok_or("a day needs a director")?;
+    let placeholder_peers =
+        |_| Some((0..day.directors.unwrap_or(1)).map(|d| format!("127.0.0.1:{}", d + 1)).collect());
+    let prepared = Directors::prepare(day, out, unjudged_log(out)?, placeholder_peers)?;
+    let path = prepared.settings(0).ok_or("the day has no directors")?;
     let text = std::fs::read_to_string(&path).map_err(|e| e.to_string())?;
     let settings =
         ashglade_settings::settings(&path.display().to_string(), &text).map_err(|e| e.to_string())?;
-    drop(probe);
-    let plan = plan(day, &settings);
+    drop(prepared);
+    let plan = judge_plan(day, &settings);
     let traffic = out.join("traffic.jsonl");
     let log = Log::create(&traffic, &plan).map_err(|e| format!("{}: {e}", traffic.display()))?;
 
     let (specs, entries) = nodes(day, &settings);
-    let (uplinks, ladder, cold) = terms(&settings);
+    let (uplinks, rung_rates, cold_pace) = shared_node_settings(&settings);
     let seed = day.seed.unwrap_or(0);
-    let fleet = Fleet::start(specs, uplinks, ladder, cold, seed, log.clone()).await;
-    let fleet = fleet.map_err(|e| format!("the nodes' listeners: {e}"))?;
+    let fleet = Fleet::start(specs, uplinks, rung_rates, cold_pace, seed, log.clone()).await;
+    let fleet = fleet.map_err(|e| format!("starting the nodes' listeners: {e}"))?;
     let entries = fleet.nodes.iter().zip(entries).map(|(node, entry)| NodeEntry {
         address: node.address,
         http_address: Some(node.http),
@@ -97,122 +98,122 @@
     });
     let entries: Vec<NodeEntry> = entries.collect();
 
-    let trouble = |e: std::io::Error| format!("a relay: {e}");
-    let net = if how.relayed {
+    let relay_error = |e: std::io::Error| format!("opening a relay: {e}");
+    let net = if options.relayed {
         let secret = settings.talk.as_ref().map(|talk| talk.secret.as_str());
         let parties = parties(day);
         let net = Network::start(&day.fault, &parties, (seed, secret, record), log.clone());
-        Some(net.await.map_err(trouble)?)
+        Some(net.await.map_err(relay_error)?)
     } else {
         None
     };
     let peers = |director: u16| net.as_ref().map(|net| net.peers(director));
     let mut directors = Directors::prepare(day, out, log.clone(), peers)?;
-    directors.defect.clone_from(&how.defect);
+    directors.defect.clone_from(&options.defect);
     let directors = Arc::new(directors);
-    let mut of = Vec::new();
-    let mut found: Vec<(u16, SocketAddr)> =
+    let mut node_lists = Vec::new();
+    let mut director_addresses: Vec<(u16, SocketAddr)> =
         directors.all.iter().map(|&(n, address, _)| (n, address)).collect();
     for (number, _, folder) in &directors.all {
         let mut entries = entries.clone();
         if let Some(net) = &net {
             for (n, entry) in entries.iter_mut().enumerate() {
-                let path = net.open_relay(Party::Director(*number), Party::Node(n), entry.address);
-                entry.address = path.await.map_err(trouble)?;
+                let relay = net.open_relay(Party::Director(*number), Party::Node(n), entry.address);
+                entry.address = relay.await.map_err(relay_error)?;
                 (entry.http_address, entry.id) = (None, Some(entry.name.clone()));
             }
         }
-        of.push((folder.clone(), entries));
+        node_lists.push((folder.clone(), entries));
     }
     if let Some(net) = &net {
-        for (number, address) in &mut found {
-            let path = net.open_relay(Party::Viewers, Party::Director(*number), *address);
-            *address = path.await.map_err(trouble)?;
+        for (number, address) in &mut director_addresses {
+            let relay = net.open_relay(Party::Viewers, Party::Director(*number), *address);
+            *address = relay.await.map_err(relay_error)?;
         }
     }
-    let lists = Lists::new(settings.names.clone(), log.clone(), of);
-    lists.write_all().map_err(|e| format!("the box lists: {e}"))?;
+    let lists = NodeLists::new(settings.names.clone(), log.clone(), node_lists);
+    lists.write_all().map_err(|e| format!("writing the node lists: {e}"))?;
     for &(number, ..) in &directors.all {
         directors.start(number, record).await?;
     }
-    let told = day.lists.unwrap_or_default();
-    let ms = |value: Option<f64>| Duration::from_secs_f64(value.unwrap_or(0.0) / 1e3);
-    let stage = Arc::new(Stage {
+    let list_delays = day.lists.unwrap_or_default();
+    let from_ms = |value: Option<f64>| Duration::from_secs_f64(value.unwrap_or(0.0) / 1e3);
+    let context = Arc::new(PlayContext {
         fleet,
         directors,
         lists,
         log: log.clone(),
-        notice: ms(told.notice_ms),
-        silent_notice: ms(told.silent_notice_ms),
+        notice: from_ms(list_delays.notice_ms),
+        silent_notice: from_ms(list_delays.silent_notice_ms),
     });
 
-    let begun = Instant::now();
-    let stalls = Stalls::watch();
+    let day_start = Instant::now();
+    let stall_monitor = StallMonitor::start();
     if let Some(net) = &net {
-        net.start_faults(stage.directors.clone(), &day.fault, begun);
+        net.start_faults(context.directors.clone(), &day.fault, day_start);
     }
     let media = Arc::new(Media::default());
     let mut troubles = JoinSet::new();
     for trouble in &day.trouble {
-        troubles.spawn(trouble::cause(stage.clone(), trouble.clone(), begun, record));
+        troubles.spawn(trouble::run(context.clone(), trouble.clone(), day_start, record));
     }
-    let scripts = scripts(day, &settings, &headend, &stage.directors, &found);
-    let total = scripts.len();
+    let scripts = viewer_scripts(day, &settings, &headend, &context.directors, &director_addresses);
+    let viewer_count = scripts.len();
     let mut viewers = JoinSet::new();
-    let mut shown = begun;
-    let mut memory = Memory::default();
-    let mut show = |present: usize| {
-        if !quiet && shown.elapsed() >= Duration::from_secs(5) {
-            shown = Instant::now();
-            progress(begun.elapsed(), &judged(&plan, &log), present);
+    let mut last_progress = day_start;
+    let mut memory = MemorySamples::default();
+    let mut show_progress = |present: usize| {
+        if !quiet && last_progress.elapsed() >= Duration::from_secs(5) {
+            last_progress = Instant::now();
+            progress(day_start.elapsed(), &judge_log(&plan, &log), present);
         }
     };
     for (at, script) in scripts {
-        tokio::time::sleep_until(begun + at).await;
-        memory.look(&stage.directors, begun.elapsed());
+        tokio::time::sleep_until(day_start + at).await;
+        memory.sample(&context.directors, day_start.elapsed());
         viewers.spawn(viewer::run(script, log.clone(), media.clone()));
-        show(viewers.len());
+        show_progress(viewers.len());
     }
     while viewers.join_next().await.is_some() {
-        show(viewers.len());
+        show_progress(viewers.len());
     }
-    while let Some(caused) = troubles.join_next().await {
-        caused.map_err(|e| e.to_string())??;
+    while let Some(result) = troubles.join_next().await {
+        result.map_err(|e| e.to_string())??;
     }
-    let started = net.as_ref().map_or(Vec::new(), |net| net.finish());
-    let drain = settings.front.drain + Duration::from_secs(2);
-    let ended_well = stage.directors.stop(drain).await;
-    let orphans = settle(&stage.fleet).await;
-    let orphaned = stage.fleet.nodes.iter().map(|node| node.orphaned().as_secs_f64()).sum();
+    let faults_started = net.as_ref().map_or(Vec::new(), |net| net.finish());
+    let drain_timeout = settings.front.drain + Duration::from_secs(2);
+    let clean_exit = context.directors.stop(drain_timeout).await;
+    let orphans = wait_for_sessions_to_end(&context.fleet).await;
+    let orphaned_s = context.fleet.nodes.iter().map(|node| node.orphaned().as_secs_f64()).sum();
     let mut plan = plan;
     if let Some(shared) = &mut plan.shared {
-        shared.stalled = stalls.longest_ms();
+        shared.stalled = stall_monitor.longest_ms();
     }
-    let verdict = judged(&plan, &log);
+    let verdict = judge_log(&plan, &log);
     if !quiet {
-        println!("{total} viewers in {:.1} s", begun.elapsed().as_secs_f64());
+        println!("{viewer_count} viewers in {:.1} s", day_start.elapsed().as_secs_f64());
     }
-    let (times, memory) = (times(&log), memory.text());
-    Ok(Played { verdict, media, orphans, orphaned, times, memory, ended_well, started })
+    let (setup_times, memory) = (setup_time_summary(&log), memory.summary());
+    Ok(PlayResult { verdict, media, orphans, orphaned_s, setup_times, memory, clean_exit, faults_started })
 }
 
 /// Measures the longest time for which this process was not scheduled: recorded times can be late by that much.
-struct Stalls(Arc<std::sync::atomic::AtomicU64>, tokio::task::JoinHandle<()>);
+struct StallMonitor(Arc<std::sync::atomic::AtomicU64>, tokio::task::JoinHandle<()>);
 
-impl Stalls {
-    fn watch() -> Stalls {
+impl StallMonitor {
+    fn start() -> StallMonitor {
         let longest = Arc::new(std::sync::atomic::AtomicU64::new(0));
-        let seen = longest.clone();
-        let watch = tokio::spawn(async move {
-            let step = Duration::from_millis(5);
+        let longest_seen = longest.clone();
+        let task = tokio::spawn(async move {
+            let interval = Duration::from_millis(5);
             loop {
                 let from = Instant::now();
-                tokio::time::sleep(step).await;
-                let late = from.elapsed().saturating_sub(step).as_millis() as u64;
-                seen.fetch_max(late, std::sync::atomic::Ordering::Relaxed);
+                tokio::time::sleep(interval).await;
+                let delay_ms = from.elapsed().saturating_sub(interval).as_millis() as u64;
+                longest_seen.fetch_max(delay_ms, std::sync::atomic::Ordering::Relaxed);
             }
         });
-        Stalls(longest, watch)
+        StallMonitor(longest, task)
     }
 
     fn longest_ms(&self) -> f64 {
@@ -223,10 +224,10 @@
 
 /// Resident memory of the first director in kB, sampled once a second with the time in seconds.
 #[derive(Default)]
-struct Memory(Vec<(u64, f64)>);
+struct MemorySamples(Vec<(u64, f64)>);
 
-impl Memory {
-    fn look(&mut self, directors: &Directors, at: Duration) {
+impl MemorySamples {
+    fn sample(&mut self, directors: &Directors, at: Duration) {
         if self.0.last().is_none_or(|(last, _)| *last < at.as_secs())
             && let Some(Ok((_, kb))) = directors.pid(0).map(crate::measure::usage)
         {
@@ -235,52 +236,53 @@
     }
 
     /// The samples at the ends of the three thirds of the day; without a leak the last two are alike.
-    fn text(&self) -> String {
-        let at = |part: usize| self.0.get((self.0.len() * part / 3).max(1) - 1);
-        let one = |part| at(part).map_or(String::new(), |(s, kb)| format!("{kb:.0} kB after {s} s"));
-        [1, 2, 3].map(one).join(", ")
+    fn summary(&self) -> String {
+        let sample_at = |part: usize| self.0.get((self.0.len() * part / 3).max(1) - 1);
+        let format_sample =
+            |part| sample_at(part).map_or(String::new(), |(s, kb)| format!("{kb:.0} kB after {s} s"));
+        [1, 2, 3].map(format_sample).join(", ")
     }
 }
 
 /// Summary of the times from SETUP to 200.
-fn times(log: &Log) -> String {
-    let mut asked = std::collections::HashMap::new();
+fn setup_time_summary(log: &Log) -> String {
+    let mut requested_at = std::collections::HashMap::new();
     let mut times = hdrhistogram::Histogram::<u64>::new(3).ok();
-    for sight in log.sights() {
-        match sight.what {
-            What::Asked { viewer, again, .. } => drop(asked.insert((viewer, again), sight.at)),
+    for entry in log.sights() {
+        match entry.what {
+            What::Asked { viewer, again, .. } => drop(requested_at.insert((viewer, again), entry.at)),
             What::Answered { viewer, again, status: 200 } => {
-                if let (Some(at), Some(times)) = (asked.remove(&(viewer, again)), &mut times) {
-                    let _ = times.record(((sight.at - at) * 1e3).max(0.0) as u64);
+                if let (Some(at), Some(times)) = (requested_at.remove(&(viewer, again)), &mut times) {
+                    let _ = times.record(((entry.at - at) * 1e3).max(0.0) as u64);
                 }
             }
             _ => {}
         }
     }
     times.map_or(String::new(), |t| {
-        let q = |q| t.value_at_quantile(q) as f64 / 1e3;
+        let quantile_ms = |quantile| t.value_at_quantile(quantile) as f64 / 1e3;
         format!(
             "{} answered 200; ms median {:.2}, p90 {:.2}, p99 {:.2}, most {:.1}",
             t.len(),
-            q(0.5),
-            q(0.9),
-            q(0.99),
-            q(1.0)
+            quantile_ms(0.5),
+            quantile_ms(0.9),
+            quantile_ms(0.99),
+            quantile_ms(1.0)
         )
     })
 }
 
 /// Waits up to 7 s for the nodes to end all sessions and returns the number of sessions left.
-async fn settle(fleet: &Fleet) -> usize {
-    let held = || fleet.nodes.iter().map(|node| node.held()).sum::<usize>();
+async fn wait_for_sessions_to_end(fleet: &Fleet) -> usize {
+    let held_sessions = || fleet.nodes.iter().map(|node| node.held()).sum::<usize>();
     // HLS sessions end by an idle timeout.
     for _ in 0..280 {
-        if held() == 0 {
+        if held_sessions() == 0 {
             break;
         }
         tokio::time::sleep(Duration::from_millis(25)).await;
     }
-    held()
+    held_sessions()
 }
 
 fn progress(at: Duration, verdict: &Verdict, present: usize) {
@@ -288,14 +290,14 @@
     println!("{:5.1} s  {present} viewers present; {counts}", at.as_secs_f64());
 }
 
-fn judged(plan: &Plan, log: &Log) -> Verdict {
+fn judge_log(plan: &Plan, log: &Log) -> Verdict {
     let mut sights = log.sights();
     sights.sort_by(|a, b| a.at.total_cmp(&b.at));
     judge::judge(&Traffic { plan: plan.clone(), sights })
 }
 
 /// A log for runs whose traffic is not judged.
-pub fn scratch(out: &Path) -> Result<Log, String> {
+pub fn unjudged_log(out: &Path) -> Result<Log, String> {
     let empty = Plan {
         groups: Vec::new(),
         nodes: Vec::new(),
@@ -312,38 +314,39 @@
 }
 
 /// Settings that all nodes share: uplink capacity of each rack and rate of each rung in kB/s, and the cold start.
-pub fn terms(settings: &Settings) -> (Vec<f64>, Vec<f64>, ColdPace) {
-    let head = &settings.headend;
-    let uplink = if head.uplink_kb_per_s > 0.0 { head.uplink_kb_per_s } else { f64::INFINITY };
-    let cold = ColdPace {
-        from: head.slow_start_initial_fraction,
-        warm_after: head.slow_start_duration.as_ms() / 1e3,
-        multiple: head.overload_multiple,
-        span: head.overload_window.as_ms() / 1e3,
+pub fn shared_node_settings(settings: &Settings) -> (Vec<f64>, Vec<f64>, ColdPace) {
+    let config = &settings.headend;
+    let uplink = if config.uplink_kb_per_s > 0.0 { config.uplink_kb_per_s } else { f64::INFINITY };
+    let cold_pace = ColdPace {
+        from: config.slow_start_initial_fraction,
+        warm_after: config.slow_start_duration.as_ms() / 1e3,
+        multiple: config.overload_multiple,
+        span: config.overload_window.as_ms() / 1e3,
     };
-    (vec![uplink; head.rack_count.into()], head.ladder.iter().map(|&(kb, _)| kb).collect(), cold)
+    (vec![uplink; config.rack_count.into()], config.ladder.iter().map(|&(kb, _)| kb).collect(), cold_pace)
 }
 
 /// The nodes of a day, spread round-robin over zones and cells.
 pub fn nodes(day: &Day, settings: &Settings) -> (Vec<Spec>, Vec<NodeEntry>) {
-    let head = &settings.headend;
+    let config = &settings.headend;
     let (mut specs, mut entries) = (Vec::new(), Vec::new());
-    for kind in &day.nodes {
-        let model = settings.names.models.iter().position(|m| Some(m) == kind.model.as_ref()).unwrap_or(0);
-        for _ in 0..kind.count.unwrap_or(0) {
+    for nodes_of_kind in &day.nodes {
+        let model =
+            settings.names.models.iter().position(|m| Some(m) == nodes_of_kind.model.as_ref()).unwrap_or(0);
+        for _ in 0..nodes_of_kind.count.unwrap_or(0) {
             let i = specs.len();
-            let cell = (i % usize::from(head.cell_count)) as u16;
-            let weight = kind.weight.unwrap_or(1.0);
+            let cell = (i % usize::from(config.cell_count)) as u16;
+            let weight = nodes_of_kind.weight.unwrap_or(1.0);
             let name = format!("node-{i}");
             specs.push(Spec {
                 name: name.clone(),
-                rack: usize::from(cell) % usize::from(head.rack_count),
-                places: head.max_streams.get(model).map_or(1, |&p| p as usize),
-                link: weight * head.link_kb_per_s_per_weight,
-                guard: kind.guard.unwrap_or(false),
+                rack: usize::from(cell) % usize::from(config.rack_count),
+                places: config.max_streams.get(model).map_or(1, |&p| p as usize),
+                link: weight * config.link_kb_per_s_per_weight,
+                guard: nodes_of_kind.guard.unwrap_or(false),
             });
             let zone = ZoneId((i % settings.names.zones.len()) as u8);
-            let place =
+            let node_info =
                 NodeInfo { zone, model: ModelId(model as u8), cell: CellId(cell), weight, started: None };
             let address: SocketAddr = ([127, 0, 0, 1], 0).into();
             entries.push(NodeEntry {
@@ -351,7 +354,7 @@
                 address,
                 http_address: None,
                 id: None,
-                info: place,
+                info: node_info,
                 state: NodeState::Ready,
             });
         }
@@ -360,10 +363,10 @@
 }
 
 /// The plan from which the judge checks the day's traffic.
-fn plan(day: &Day, settings: &Settings) -> Plan {
+fn judge_plan(day: &Day, settings: &Settings) -> Plan {
     use ashglade::interface::{RetrySafety, RetryScope};
-    let head = &settings.headend;
-    let groups = head.groups.iter().zip(&settings.group_names).map(|(group, name)| judge::Group {
+    let config = &settings.headend;
+    let groups = config.groups.iter().zip(&settings.group_names).map(|(group, name)| judge::Group {
         name: name.clone(),
         utility: group.utility,
         start_target: group.start_target.as_ms(),
@@ -392,28 +395,28 @@
         groups: groups.collect(),
         nodes: nodes.collect(),
         drain_grace: day.drain_grace_ms.unwrap_or(0.0),
-        cold_from: head.slow_start_initial_fraction,
-        warm_after: head.slow_start_duration.as_ms(),
-        fall_multiple: head.overload_multiple,
-        fall_span: head.overload_window.as_ms(),
-        ration: head.retry_budget.map(|r| (r.base_retries, r.retries_per_session, r.window.as_ms())),
+        cold_from: config.slow_start_initial_fraction,
+        warm_after: config.slow_start_duration.as_ms(),
+        fall_multiple: config.overload_multiple,
+        fall_span: config.overload_window.as_ms(),
+        ration: config.retry_budget.map(|r| (r.base_retries, r.retries_per_session, r.window.as_ms())),
         slack: day.slack_ms.unwrap_or(60.0),
-        shared: shared(settings),
+        shared: shared_plan(settings),
     }
 }
 
 /// Settings of the state that directors share, for the judge; `None` if they share none.
-fn shared(settings: &Settings) -> Option<judge::Shared> {
-    let terms = ashglade_peer_transport::fleet_config(settings)?;
-    let council = |home| terms.voters(home).into_iter().map(|director| director as u16).collect();
+fn shared_plan(settings: &Settings) -> Option<judge::Shared> {
+    let fleet_config = ashglade_peer_transport::fleet_config(settings)?;
+    let voters = |home| fleet_config.voters(home).into_iter().map(|director| director as u16).collect();
     let repeats = settings.talk.as_ref()?.share.as_ref()?.repeats;
     Some(judge::Shared {
-        lease: terms.lease.as_ms(),
-        drift: terms.max_clock_drift,
-        rest: terms.guard_interval.as_ms(),
+        lease: fleet_config.lease.as_ms(),
+        drift: fleet_config.max_clock_drift,
+        rest: fleet_config.guard_interval.as_ms(),
         under_way: ashglade_peer_transport::max_send_delay(settings).as_ms(),
         stalled: 0.0,
-        councils: (0..terms.director_count()).map(council).collect(),
+        councils: (0..fleet_config.director_count()).map(voters).collect(),
         repeats: repeats.map(|repeats| judge::Repeats {
             at_node: repeats.at_node,
             kept: repeats.kept,
@@ -433,18 +436,18 @@
 }
 
 /// Scripts for the viewers on sockets, each with its arrival time.
-fn scripts(
+fn viewer_scripts(
     day: &Day,
     settings: &Settings,
     headend: &ashglade_settings::schema::headend::Headend,
     directors: &Directors,
-    found: &[(u16, SocketAddr)],
+    director_addresses: &[(u16, SocketAddr)],
 ) -> Vec<(Duration, Script)> {
     let titles: Vec<&String> = headend.title.iter().filter_map(|t| t.name.as_ref()).collect();
     let script = |(id, arrival): (u64, Arrival)| {
         let title = titles.get(arrival.title).map_or_else(String::new, |title| title.to_string());
-        let addresses = arrival.directors.iter().filter_map(|&d| found.get(usize::from(d)));
-        let http = || arrival.directors.iter().map(|&d| (d, directors.http(d))).collect();
+        let addresses = arrival.directors.iter().filter_map(|&d| director_addresses.get(usize::from(d)));
+        let http = || arrival.directors.iter().map(|&d| (d, directors.hls_address(d))).collect();
         let script = Script {
             id,
             directors: addresses.copied().collect(),
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -167,7 +167,7 @@
         day.txtpb:3: seconds: is 0; 1 to 3600 is wanted
         day.txtpb:66: nodes[0].count: is 0; 1 to 65000 is wanted
         day.txtpb:66: nodes[0].model: names "huge"; there is small
-        day.txtpb:75: viewers[0].group_share: has 2 shares; 3 are wanted
+        day.txtpb:75: viewers[0].group_share: has 2 shares; 3 are required
         headend.txtpb:1: rung[1].kb_per_s: the ladder must rise from rung to rung
         day.txtpb:82: trouble[0].size: is 0.5; 1 to 100 is wanted
         day.txtpb:82: trouble[0].on[0]: is 12; 0 to 11 is wanted
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -70,16 +70,16 @@
         told += said.rsplit('/').next().unwrap_or_default();
     }
     expect_test::expect![[r#"
-        fleet.txtpb:70: fault[0].from[0]: "director 9" is nobody; as "director 3", "node 5", "zone NAME" or "viewers"
-        fleet.txtpb:70: fault[0].from[0]: "zone x" is nobody; as "director 3", "node 5", "zone NAME" or "viewers"
-        fleet.txtpb:70: fault[0].from: is left out
-        fleet.txtpb:70: fault[0]: wants one of at_s and when
-        fleet.txtpb:70: fault[0]: wants one of at_s and when
-        fleet.txtpb:70: fault[0].when.from[0]: "somebody" is nobody; as "director 3", "node 5", "zone NAME" or "viewers"
+        fleet.txtpb:70: fault[0].from[0]: "director 9" names no party; use "director 3", "node 5", "zone NAME" or "viewers"
+        fleet.txtpb:70: fault[0].from[0]: "zone x" names no party; use "director 3", "node 5", "zone NAME" or "viewers"
+        fleet.txtpb:70: fault[0].from: is missing
+        fleet.txtpb:70: fault[0]: needs exactly one of at_s and when
+        fleet.txtpb:70: fault[0]: needs exactly one of at_s and when
+        fleet.txtpb:70: fault[0].when.from[0]: "somebody" names no party; use "director 3", "node 5", "zone NAME" or "viewers"
         fleet.txtpb:70: fault[0].size: is 2; 0 to 1 is wanted
         fleet.txtpb:70: fault[0].size: is left out
-        fleet.txtpb:70: fault[0].from[0]: only directors are killed or stopped
-        fleet.txtpb:70: fault[0].deed: is left out
+        fleet.txtpb:70: fault[0].from[0]: only directors can be killed or stopped
+        fleet.txtpb:70: fault[0].deed: is missing
     "#]].assert_eq(&told);
 }
 
