--- a/crates/lab/src/emulator/director.rs
+++ b/crates/lab/src/emulator/director.rs
@@ -46,7 +46,7 @@
     pub sessions: BTreeMap<SessionId, DirectorSession>,
     last_session_id: u64,
     /// By node: when this director received a list with the node as draining or gone, in seconds.
-    pub listed_leaving_s: BTreeMap<usize, f64>,
+    pub leaving_since_s: BTreeMap<usize, f64>,
 }
 
 impl SimulatedDirector {
@@ -61,7 +61,7 @@
             busy_until_us: 0,
             sessions: BTreeMap::new(),
             last_session_id: 0,
-            listed_leaving_s: BTreeMap::new(),
+            leaving_since_s: BTreeMap::new(),
         }
     }
 
@@ -94,6 +94,7 @@
 }
 
 impl World {
+    /// Starts a director's process and gives it the current node list.
     pub(super) fn start_director(&mut self, director: usize) {
         let (now, list) = (self.instant(), self.list.clone());
         let director_state = &mut self.directors[director];
@@ -106,6 +107,7 @@
         }
     }
 
+    /// Kills a director's process: nodes end its sessions and viewers lose their connections.
     pub(super) fn kill_director(&mut self, director: usize) {
         let sessions = self.directors[director].kill();
         for (session_id, session) in sessions {
@@ -189,6 +191,7 @@
         }
     }
 
+    /// Does what an engine asked for, and checks SETUPs against the rules.
     fn apply_effect(&mut self, director: u16, effect: Effect) {
         let network_delay_s = self.network_delay_s;
         let process = self.directors[usize::from(director)].process;
@@ -241,7 +244,9 @@
             }
             Effect::CancelSetup { session: session_id, setup, if_unsent } => {
                 let Some(session) = sessions.get_mut(&session_id) else { return };
-                let Some((_, node)) = session.pending_setup.filter(|&(out, _)| out == setup) else { return };
+                let Some((_, node)) = session.pending_setup.filter(|&(number, _)| number == setup) else {
+                    return;
+                };
                 // A SETUP is written as soon as its node is connected, so it is no longer unsent.
                 if if_unsent && node.is_some() {
                     return;
@@ -332,15 +337,15 @@
     match *input {
         Input::SetupAccepted { session: session_id, setup, .. } => {
             if let Some(session) = sessions.get_mut(&session_id)
-                && let Some((out, Some(node))) = session.pending_setup
-                && out == setup
+                && let Some((number, Some(node))) = session.pending_setup
+                && number == setup
             {
                 (session.playing_on, session.pending_setup) = (Some(node), None);
             }
         }
         Input::SetupFailed { session: session_id, setup, outcome, .. } => {
             if let Some(session) = sessions.get_mut(&session_id)
-                && session.pending_setup.is_some_and(|(out, _)| out == setup)
+                && session.pending_setup.is_some_and(|(number, _)| number == setup)
             {
                 session.pending_setup = None;
                 session.may_have_run |= !matches!(
--- a/crates/lab/src/emulator/environment.rs
+++ b/crates/lab/src/emulator/environment.rs
@@ -23,27 +23,39 @@
     ListNodes(Vec<usize>, NodeState, f64),
     /// Delays list updates by additional seconds.
     ListDelay(f64),
+    /// Kills the processes of directors.
     KillDirectors(Vec<usize>),
+    /// Starts the processes of directors.
     StartDirectors(Vec<usize>),
     /// Pauses directors for a span in seconds.
     PauseDirectors(Vec<usize>, f64),
 }
 
-/// A fault of a node, with its new value. Delays and spans are in seconds, rates are fractions of SETUPs.
+/// A fault of a node, with its new value. Delays and spans are in seconds.
 #[derive(Clone, Copy, Debug)]
 pub enum NodeFault {
+    /// Replies to SETUPs are lost.
     ReplyLost(bool),
+    /// The node neither answers nor sends.
     Hang(bool),
+    /// Fraction of SETUPs that fail with an error reply.
     ErrorRate(f64),
+    /// Fraction of SETUPs whose connection is reset.
     ResetRate(f64),
+    /// Factor by which the link's capacity is divided.
     LinkSlowdown(f64),
+    /// Load reports keep their current value.
     FrozenReports(bool),
+    /// Delay of each SETUP.
     SetupDelay(f64),
+    /// Time that each SETUP takes in a queue; 0 for no queue.
     SetupQueue(f64),
+    /// How long sessions outlive their connection.
     SessionRetention(f64),
 }
 
 impl NodeFault {
+    /// Sets the fault in a node's faults.
     pub fn apply(self, faults: &mut ashglade_standin::Faults) {
         match self {
             NodeFault::ReplyLost(enabled) => faults.answer_lost = enabled,
--- a/crates/lab/src/emulator/nodes.rs
+++ b/crates/lab/src/emulator/nodes.rs
@@ -14,6 +14,7 @@
 /// One media node.
 pub struct Node {
     pub spec: Spec,
+    /// Whether the process runs.
     pub up: bool,
     /// Whether the node was overloaded while cold; it stays down.
     pub overloaded: bool,
@@ -53,6 +54,7 @@
 
 /// All media nodes with the uplinks of their racks.
 pub struct Fleet {
+    /// All nodes, by index.
     pub nodes: Vec<Node>,
     /// Rate of each rung, in kB/s.
     pub rung_rates: Vec<f64>,
--- a/crates/lab/src/emulator/peers.rs
+++ b/crates/lab/src/emulator/peers.rs
@@ -25,6 +25,7 @@
 }
 
 impl PeerState {
+    /// The peer state for a director's settings; `None` if they enable no peer communication.
     pub fn new(settings: &Settings) -> Option<PeerState> {
         Some(PeerState {
             config: ashglade_peer_transport::fleet_config(settings)?,
@@ -90,8 +91,10 @@
 struct DatagramLoss {
     from_s: f64,
     to_s: f64,
+    /// Senders and receivers.
     from: BTreeSet<Party>,
     to: BTreeSet<Party>,
+    /// Whether it also applies from `to` to `from`.
     both: bool,
     /// Probability that a datagram is lost.
     probability: f64,
@@ -138,6 +141,7 @@
 }
 
 impl World {
+    /// Runs the periodic tick of a director's peer state and schedules the next one.
     pub(super) fn peer_tick(&mut self, director: u16, process: u32) {
         if self.directors[usize::from(director)].process == process {
             self.run_peer_state(director, None);
@@ -145,12 +149,15 @@
         }
     }
 
+    /// Delivers a message to its receiver, if that runs.
     pub(super) fn peer_message_arrives(&mut self, message: &PeerMessage) {
         if self.directors[usize::from(message.to)].engine.is_some() {
             self.run_peer_state(message.to, Some(message));
         }
     }
 
+    /// Runs a director's peer state on a message or a tick, sends its messages and passes its inputs to the
+    /// engine.
     fn run_peer_state(&mut self, director: u16, message: Option<&PeerMessage>) {
         let (now, now_s) = (self.instant(), self.now_seconds());
         let director_state = &mut self.directors[usize::from(director)];
--- a/crates/lab/src/emulator/report.rs
+++ b/crates/lab/src/emulator/report.rs
@@ -122,8 +122,8 @@
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         for g in &self.groups {
-            let ratio = |n: u64, ratio: u64| {
-                if ratio == 0 { "-".into() } else { format!("{:.3}", n as f64 / ratio as f64) }
+            let ratio = |n: u64, total: u64| {
+                if total == 0 { "-".into() } else { format!("{:.3}", n as f64 / total as f64) }
             };
             writeln!(
                 f,
--- a/crates/lab/src/emulator/viewers.rs
+++ b/crates/lab/src/emulator/viewers.rs
@@ -37,6 +37,7 @@
 }
 
 impl Viewer {
+    /// Number of tracks of the viewer's title.
     pub fn track_count(&self) -> u8 {
         self.track_count
     }
@@ -59,6 +60,7 @@
         }
     }
 
+    /// Adds the next viewer, which sends its first request at once.
     pub(super) fn viewer_arrives(&mut self) {
         let Some(arrival) = self.pending_arrivals.pop() else { return };
         let (group, remaining_s) = (arrival.group, arrival.watch_s);
@@ -79,6 +81,7 @@
         self.schedule_next_arrival();
     }
 
+    /// Sends a viewer's request to the director whose turn it is.
     pub(super) fn viewer_requests(&mut self, viewer: usize) {
         let now = self.now_seconds();
         let viewer_state = &mut self.viewers[viewer];
@@ -88,9 +91,9 @@
         let director = viewer_state.arrival.directors
             [viewer_state.directors_tried % viewer_state.arrival.directors.len()];
         let (attempt, arrival) = (viewer_state.attempt, viewer_state.arrival.clone());
-        if let Some((told_at, after)) = viewer_state.retry_hint {
+        if let Some((busy_at, after)) = viewer_state.retry_hint {
             // Counts retries at the requested time, not reconnects after a loss.
-            if (now - told_at - after).abs() < 1e-3 {
+            if (now - busy_at - after).abs() < 1e-3 {
                 self.report.groups[arrival.group].prompt_retries += 1;
                 self.sample.retries[arrival.group] += 1;
             }
@@ -160,6 +163,7 @@
         self.schedule_after(after, Event::ViewerRequests { viewer });
     }
 
+    /// Handles the response to a viewer's request.
     pub(super) fn viewer_answered(&mut self, viewer: usize, attempt: u32, response: SessionResponse) {
         let now = self.now_seconds();
         let viewer_state = &mut self.viewers[viewer];
@@ -169,32 +173,35 @@
         if viewer_state.attempt != attempt {
             return;
         }
-        let (group, took) = (viewer_state.arrival.group, now - requested_at);
-        let counts = &mut self.report.groups[group];
+        let (group, elapsed_s) = (viewer_state.arrival.group, now - requested_at);
+        let group_report = &mut self.report.groups[group];
         match response {
             SessionResponse::Plays { .. } => {
                 viewer_state.phase = Phase::Playing { director, process, session_id };
-                let in_time = took <= self.settings.headend.groups[group].start_target.as_ms() / 1e3;
-                counts.played += 1;
+                let in_time = elapsed_s <= self.settings.headend.groups[group].start_target.as_ms() / 1e3;
+                group_report.played += 1;
                 if attempt == 0 && in_time {
-                    counts.in_time += 1;
+                    group_report.in_time += 1;
                     self.sample.in_time[group] += 1;
                     self.report.in_time_by_director[usize::from(director)] += 1;
                 }
-                if let Some((told_at, after)) = viewer_state.retry_hint.take() {
-                    counts.retries_started += 1;
-                    counts.retries_started_in_time += u64::from(now - told_at <= after * 1.2);
+                if let Some((busy_at, after)) = viewer_state.retry_hint.take() {
+                    group_report.retries_started += 1;
+                    group_report.retries_started_in_time += u64::from(now - busy_at <= after * 1.2);
                 }
                 let remaining_s = viewer_state.remaining_s;
-                self.schedule_after((remaining_s - took).max(0.0), Event::ViewingEnds { viewer, attempt });
+                self.schedule_after(
+                    (remaining_s - elapsed_s).max(0.0),
+                    Event::ViewingEnds { viewer, attempt },
+                );
             }
             SessionResponse::Busy { retry_after, why: reason } => {
-                counts.busy_replies += 1;
+                group_report.busy_replies += 1;
                 let reason = match reason {
                     BusyReason::Door(reason) => format!("{reason:?}"),
                     reason => format!("{reason:?}"),
                 };
-                *counts.busy_reasons.entry(reason).or_default() += 1;
+                *group_report.busy_reasons.entry(reason).or_default() += 1;
                 self.sample.busy_replies[group] += 1;
                 // Rounded up to whole seconds, as Retry-After carries it (RFC 2326).
                 let retry_after_s = retry_after.map(|after| (after.as_ms() / 1e3).ceil());
@@ -203,7 +210,7 @@
                 self.schedule_retry(viewer, after, requested_at);
             }
             SessionResponse::TornDown => {
-                counts.torn_down += 1;
+                group_report.torn_down += 1;
                 viewer_state.retry_hint = None;
                 viewer_state.directors_tried += 1;
                 let retry_delay_s = viewer_state.arrival.retry_delay_s;
@@ -233,6 +240,7 @@
         self.schedule_retry(viewer, retry_delay_s, began_at);
     }
 
+    /// Ends the wait for a response, at the setup timeout or when an impatient viewer leaves.
     pub(super) fn viewer_gives_up(&mut self, viewer: usize, attempt: u32) {
         let viewer_state = &mut self.viewers[viewer];
         let Phase::Requesting { director, process, session_id, requested_at } = viewer_state.phase else {
@@ -267,6 +275,7 @@
         self.schedule_retry(viewer, retry_delay_s, requested_at);
     }
 
+    /// Ends a session that the viewer has watched to the end.
     pub(super) fn viewing_ends(&mut self, viewer: usize, attempt: u32) {
         let viewer_state = &mut self.viewers[viewer];
         let Phase::Playing { director, process, session_id } = viewer_state.phase else { return };
--- a/crates/lab/src/emulator/world.rs
+++ b/crates/lab/src/emulator/world.rs
@@ -20,6 +20,8 @@
 use crate::day::Day;
 use crate::{arrivals, directors, play};
 
+/// What happens at a point in simulated time. Viewers, directors and nodes are given by index; `process` is
+/// the director's process that the event belongs to.
 #[derive(Debug)]
 pub(super) enum Event {
     /// The next viewer of the day arrives.
@@ -60,7 +62,9 @@
 
 /// A scheduled event. Ordered by time; events of the same time run in the order in which they were scheduled.
 pub(super) struct ScheduledEvent {
+    /// In microseconds since the start of the day.
     at: u64,
+    /// Position in the order of scheduling.
     sequence: u64,
     event: Event,
 }
@@ -90,12 +94,14 @@
     /// Current simulated time, in microseconds since the start of the day.
     pub now_us: u64,
     event_queue: BinaryHeap<Reverse<ScheduledEvent>>,
+    /// Number of events scheduled so far.
     scheduled_count: u64,
     pub settings: Settings,
     /// Titles in the order of the settings.
     pub titles: Vec<Title>,
     /// One-way latency of every message, in seconds.
     pub network_delay_s: f64,
+    /// All directors, by index.
     pub directors: Vec<SimulatedDirector>,
     /// Network faults between directors.
     pub network_faults: peers::NetworkFaults,
@@ -132,7 +138,7 @@
         ));
     }
     let mut world = World::new(day, admission)?;
-    world.begin(day);
+    world.schedule_initial_events(day);
     while !world.finished
         && let Some(Reverse(ScheduledEvent { at, event, .. })) = world.event_queue.pop()
     {
@@ -147,7 +153,7 @@
     fn new(day: &Day, admission: bool) -> Result<World, String> {
         let count = day.directors.unwrap_or(1) as u16;
         let mut director_configs = Vec::new();
-        let mut first = None;
+        let mut first_settings = None;
         for director in 0..count {
             // These addresses are placeholders: nothing is sent to them.
             let peers = (0..count).map(|peer| format!("127.0.0.1:{}", 1000 + peer)).collect();
@@ -156,11 +162,11 @@
             let mut settings = ashglade_settings::settings("headend", &text).map_err(|e| e.to_string())?;
             settings.door = settings.door.filter(|_| admission);
             director_configs.push((ashglade_director::replay_start(&settings), PeerState::new(&settings)));
-            first.get_or_insert(settings);
+            first_settings.get_or_insert(settings);
         }
-        let settings = first.ok_or("the day has no directors")?;
-        let named = day.headend.iter().flat_map(|h| &h.title).filter_map(|t| t.name.as_ref());
-        let titles = named.filter_map(|name| settings.titles.get(name)).cloned().collect();
+        let settings = first_settings.ok_or("the day has no directors")?;
+        let title_names = day.headend.iter().flat_map(|h| &h.title).filter_map(|t| t.name.as_ref());
+        let titles = title_names.filter_map(|name| settings.titles.get(name)).cloned().collect();
         let (node_specs, entries) = play::nodes(day, &settings);
         // Each node gets a unique address, as identifiers derive from it; nothing is sent there.
         let loopback_address = |i: usize| [127, 1 + (i >> 16) as u8, (i >> 8) as u8, i as u8];
@@ -169,7 +175,7 @@
             .enumerate()
             .map(|(i, entry)| NodeEntry { address: (loopback_address(i), 554).into(), ..entry })
             .collect();
-        let (uplinks, ladder, cold) = play::shared_node_settings(&settings);
+        let (uplinks, rung_rates, cold_pace) = play::shared_node_settings(&settings);
         let seed = day.seed.unwrap_or(0);
         let mut pending_arrivals = arrivals::draw(day, &settings);
         pending_arrivals.reverse();
@@ -189,10 +195,10 @@
             network_delay_s: day.network_ms.unwrap_or(0.3) / 1e3,
             directors: director_configs
                 .into_iter()
-                .map(|(start, peer_state)| SimulatedDirector::new(start, peer_state))
+                .map(|(config, peer_state)| SimulatedDirector::new(config, peer_state))
                 .collect(),
             network_faults: peers::NetworkFaults::of(day),
-            fleet: Fleet::new(node_specs, uplinks, ladder, cold, seed),
+            fleet: Fleet::new(node_specs, uplinks, rung_rates, cold_pace, seed),
             node_index: entries.iter().enumerate().map(|(i, entry)| (entry.node_id(), i)).collect(),
             list: NodeList { generation: 1, entries },
             list_delay_s: 0.0,
@@ -207,19 +213,20 @@
         })
     }
 
-    fn begin(&mut self, day: &Day) {
+    /// Starts all directors and schedules the troubles, the first arrival and the sampling.
+    fn schedule_initial_events(&mut self, day: &Day) {
         for director in 0..self.directors.len() {
             self.start_director(director);
         }
         let lists = day.lists.unwrap_or_default();
-        let sizes = FleetSize {
+        let fleet_size = FleetSize {
             nodes: self.fleet.nodes.len(),
             racks: self.fleet.uplinks.len(),
             directors: self.directors.len(),
             notice_s: lists.notice_ms.unwrap_or(0.0) / 1e3,
             silent_notice_s: lists.silent_notice_ms.unwrap_or(0.0) / 1e3,
         };
-        for (at, change) in day.trouble.iter().flat_map(|t| environment::changes(t, &sizes)) {
+        for (at, change) in day.trouble.iter().flat_map(|t| environment::changes(t, &fleet_size)) {
             self.schedule_after(at, Event::EnvironmentChanges(change));
         }
         self.sample = self.empty_sample(0);
@@ -227,10 +234,12 @@
         self.schedule_next_arrival();
     }
 
+    /// Current simulated time, in seconds since the start of the day.
     pub fn now_seconds(&self) -> f64 {
         self.now_us as f64 / 1e6
     }
 
+    /// Current simulated time, as the engines have it.
     pub fn instant(&self) -> Instant {
         Instant::from_ms(self.now_us as f64 / 1e3)
     }
@@ -330,11 +339,13 @@
         }
     }
 
+    /// Number of tracks of the title that a stream plays.
     fn track_count(&self, (director, session_id): StreamKey) -> u8 {
         let session = self.directors[usize::from(director)].sessions.get(&session_id);
         session.map_or(1, |session| self.viewers[session.viewer].track_count())
     }
 
+    /// Handles a SETUP at a node, and checks it against the rules.
     fn setup_arrives(&mut self, key: StreamKey, process: u32, setup: SetupNumber, node: usize, rung: u8) {
         let (director, session_id) = key;
         let director_state = &self.directors[usize::from(director)];
@@ -345,10 +356,10 @@
                 .sessions
                 .get(&session_id)
                 .is_some_and(|session| session.pending_setup == Some((setup, Some(node))));
-        let listed_at = director_state.listed_leaving_s.get(&node).copied();
+        let listed_at = director_state.leaving_since_s.get(&node).copied();
         let node_state = &self.fleet.nodes[node];
-        let (up, hanging, node_process) = (node_state.up, node_state.faults.hang, node_state.process);
-        if !wanted || (up && hanging) {
+        let (is_up, hanging, node_process) = (node_state.up, node_state.faults.hang, node_state.process);
+        if !wanted || (is_up && hanging) {
             return;
         }
         let delay_s = listed_at
@@ -359,12 +370,12 @@
                 "rule 3: a SETUP at node {node}, listed as leaving {delay_s:.3} s before"
             ));
         }
-        let handled = match up {
+        let reply = match is_up {
             true => self.fleet.handle_setup(self.now_seconds(), node, key, rung),
             false => SetupReply::ConnectionReset,
         };
         let load = Some(self.fleet.load(node));
-        let input = match handled {
+        let input = match reply {
             SetupReply::Accepted { done_at } => {
                 let at = (done_at * 1e6).round() as u64;
                 return self.schedule_at(
@@ -422,37 +433,43 @@
         self.settings.headend.groups.get(group).is_some_and(|g| g.retry_safety == RetrySafety::Fragile)
     }
 
+    /// Applies a scripted change of the environment.
     fn change_environment(&mut self, change: EnvironmentChange) {
         match change {
-            EnvironmentChange::NodeFault(on, fault) => {
-                on.iter().for_each(|&i| self.fleet.change_faults(i, |f| fault.apply(f)))
+            EnvironmentChange::NodeFault(nodes, fault) => {
+                nodes.iter().for_each(|&i| self.fleet.change_faults(i, |f| fault.apply(f)))
             }
-            EnvironmentChange::UplinkSlowdown(racks, by) => {
+            EnvironmentChange::UplinkSlowdown(racks, factor) => {
                 racks.iter().for_each(|&r| {
                     if let Some(slowdown) = self.fleet.uplink_slowdowns.get_mut(r) {
-                        *slowdown = by;
+                        *slowdown = factor;
                     }
                 });
             }
-            EnvironmentChange::StopNodes(on) => on.iter().for_each(|&i| self.stop_node(i)),
-            EnvironmentChange::StartNodes(on) => {
+            EnvironmentChange::StopNodes(nodes) => nodes.iter().for_each(|&i| self.stop_node(i)),
+            EnvironmentChange::StartNodes(nodes) => {
                 let now = self.now_seconds();
-                on.iter().for_each(|&i| self.fleet.start(now, i));
+                nodes.iter().for_each(|&i| self.fleet.start(now, i));
             }
             EnvironmentChange::ListNodes(nodes, state, after) => {
                 let started = (state == NodeState::Ready).then(|| self.now_seconds());
                 self.schedule_after(after + self.list_delay_s, Event::ListUpdated { nodes, state, started });
             }
-            EnvironmentChange::ListDelay(by) => self.list_delay_s = by,
-            EnvironmentChange::KillDirectors(on) => on.iter().for_each(|&d| self.kill_director(d)),
-            EnvironmentChange::StartDirectors(on) => on.iter().for_each(|&d| self.start_director(d)),
-            EnvironmentChange::PauseDirectors(on, span) => {
-                let until = self.now_us + (span * 1e6) as u64;
-                on.iter().for_each(|&d| self.directors[d].busy_until_us = until);
+            EnvironmentChange::ListDelay(delay_s) => self.list_delay_s = delay_s,
+            EnvironmentChange::KillDirectors(directors) => {
+                directors.iter().for_each(|&d| self.kill_director(d))
+            }
+            EnvironmentChange::StartDirectors(directors) => {
+                directors.iter().for_each(|&d| self.start_director(d))
+            }
+            EnvironmentChange::PauseDirectors(directors, span_s) => {
+                let until = self.now_us + (span_s * 1e6) as u64;
+                directors.iter().for_each(|&d| self.directors[d].busy_until_us = until);
             }
         }
     }
 
+    /// Publishes a state of nodes to all directors.
     fn update_list(&mut self, nodes: &[usize], state: NodeState, started: Option<f64>) {
         for &i in nodes {
             let Some(entry) = self.list.entries.get_mut(i) else { continue };
@@ -467,8 +484,8 @@
             let director_state = &mut self.directors[director];
             for &i in nodes {
                 match state {
-                    NodeState::Ready => drop(director_state.listed_leaving_s.remove(&i)),
-                    _ => drop(director_state.listed_leaving_s.entry(i).or_insert(now)),
+                    NodeState::Ready => drop(director_state.leaving_since_s.remove(&i)),
+                    _ => drop(director_state.leaving_since_s.entry(i).or_insert(now)),
                 }
             }
             let (process, input) = (director_state.process, Input::DiscoverySnapshot(self.list.clone()));
@@ -476,6 +493,7 @@
         }
     }
 
+    /// A sample for a second in which nothing has happened yet.
     fn empty_sample(&self, second: u64) -> Sample {
         let zeros = vec![0; self.report.groups.len()];
         Sample {
@@ -494,7 +512,7 @@
     /// second.
     fn record_second(&mut self) {
         let second = (self.now_seconds().round() as u64).max(1) - 1;
-        let top = self.settings.headend.ladder.last().map_or(1.0, |&(_, utility)| utility);
+        let top_utility = self.settings.headend.ladder.last().map_or(1.0, |&(_, utility)| utility);
         let shares: Vec<f64> = (0..self.fleet.nodes.len()).map(|i| self.fleet.delivered_share(i)).collect();
         let mut deliveries = Vec::new();
         for (director, director_state) in self.directors.iter().enumerate() {
@@ -509,7 +527,7 @@
                 let rung = self.settings.headend.ladder.get(usize::from(session.rung));
                 let group = &mut self.report.groups[session.group];
                 group.watched_s += 1.0;
-                group.quality_s += rung.map_or(0.0, |&(_, utility)| utility / top) * share;
+                group.quality_s += rung.map_or(0.0, |&(_, utility)| utility / top_utility) * share;
                 self.sample.playing[session.group] += 1;
             }
         }
@@ -525,11 +543,12 @@
         self.sample.concurrency_limits = self.directors.iter().map(concurrency_limit).collect();
         let next = self.empty_sample(second + 1);
         self.report.samples.push(std::mem::replace(&mut self.sample, next));
-        let anyone = !self.pending_arrivals.is_empty() || self.viewers.iter().any(Viewer::present);
-        self.finished = !anyone && self.now_seconds() >= self.end_s;
+        let viewers_remain = !self.pending_arrivals.is_empty() || self.viewers.iter().any(Viewer::present);
+        self.finished = !viewers_remain && self.now_seconds() >= self.end_s;
         self.schedule_after(1.0, Event::SecondPassed);
     }
 
+    /// Adds the engines' counters and returns the report.
     fn into_report(mut self) -> Report {
         for director_state in &self.directors {
             if let Some(engine) = &director_state.engine {
@@ -554,16 +573,17 @@
             }
         }
         let report = &mut self.report;
-        let retries = report.samples.iter().map(|s| s.retries.iter().sum::<u64>());
+        let retries = report.samples.iter().map(|sample| sample.retries.iter().sum::<u64>());
         let retries_in_day: Vec<u64> = retries.take(self.end_s.ceil() as usize).collect();
         report.peak_retries = retries_in_day.iter().copied().max().unwrap_or(0);
         report.mean_retries = retries_in_day.iter().sum::<u64>() as f64 / retries_in_day.len().max(1) as f64;
         let total_utility = |count: fn(&super::GroupReport) -> u64| -> f64 {
             let groups = report.groups.iter().zip(&self.settings.headend.groups);
-            groups.map(|(group, terms)| count(group) as f64 * terms.utility).sum()
+            groups.map(|(group, settings)| count(group) as f64 * settings.utility).sum()
         };
-        let asked = total_utility(|g| g.viewers);
-        report.service = if asked > 0.0 { total_utility(|g| g.in_time) / asked } else { 0.0 };
+        let requested_utility = total_utility(|g| g.viewers);
+        report.service =
+            if requested_utility > 0.0 { total_utility(|g| g.in_time) / requested_utility } else { 0.0 };
         self.report
     }
 }
--- a/crates/lab/src/fault_search.rs
+++ b/crates/lab/src/fault_search.rs
@@ -35,16 +35,16 @@
         let drawn = Day { seed: Some(seed), fault: draw_faults(&day, seed), ..day.clone() };
         let folder = out.join(format!("seed-{seed}"));
         let played = play::play(&drawn, &folder, &options).await?;
-        let why = failure(&played);
+        let reason = failure(&played);
         let faults: Vec<String> =
             drawn.fault.iter().map(|f| format!("{:?}", f.deed()).to_uppercase()).collect();
         println!(
             "seed {seed}: {}  service {:.3}  {}",
-            why.as_deref().unwrap_or("held"),
+            reason.as_deref().unwrap_or("held"),
             played.verdict.service,
             faults.join(" ")
         );
-        if why.is_some() {
+        if reason.is_some() {
             let minimal = minimize(drawn, &folder, &options).await?;
             let path = folder.join("least.txtpb");
             write(&minimal, &path)?;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -190,6 +190,7 @@
     }
 }
 
+/// Runs a future on a new multi-threaded runtime.
 fn run<T>(task: impl Future<Output = Result<T, String>>) -> Result<T, String> {
     let runtime = tokio::runtime::Runtime::new().map_err(|e| e.to_string())?;
     let result = runtime.block_on(task);
@@ -197,6 +198,7 @@
     result
 }
 
+/// Plays a day and prints its report; true if all checks passed.
 async fn play_day(file: PathBuf, out: PathBuf, options: PlayOptions) -> Result<bool, String> {
     let day = day::read(&file)?;
     if !options.relayed && !day.fault.is_empty() {
@@ -243,6 +245,7 @@
     peer_communication: bool,
 }
 
+/// Emulates a day, prints its report and writes the requested files; true if no violation was observed.
 fn emulate(
     file: &std::path::Path,
     disabled: &DisabledFeatures,
@@ -322,6 +325,7 @@
     plot.map_or(Ok(()), |path| plot::over_directors(path, title, &series))
 }
 
+/// Plays the matrix and prints a line for each cell; true if all cells held.
 async fn play_matrix(out: PathBuf, short: bool) -> Result<bool, String> {
     let (retry_safeties, phases) = if short {
         (&matrix::RETRY_SAFETIES[2..], &matrix::PHASES[..1])
@@ -330,11 +334,12 @@
     };
     let cells = matrix::play(&out, retry_safeties, phases).await?;
     for cell in &cells {
-        println!("{} {} {}", cell.name, if cell.held { "held  " } else { "BROKEN" }, cell.counts);
+        println!("{} {} {}", cell.name, if cell.passed { "held  " } else { "BROKEN" }, cell.counts);
     }
-    Ok(!cells.is_empty() && cells.iter().all(|cell| cell.held))
+    Ok(!cells.is_empty() && cells.iter().all(|cell| cell.passed))
 }
 
+/// Judges a file of recorded traffic and prints the verdict; true if all rules held.
 fn judge_file(path: &std::path::Path) -> Result<bool, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     let traffic = ashglade_judge::Traffic::read(&text).map_err(|e| format!("{}: {e}", path.display()))?;
--- a/crates/lab/src/matrix.rs
+++ b/crates/lab/src/matrix.rs
@@ -32,11 +32,11 @@
 /// The result of one combination.
 pub struct MatrixCell {
     pub name: String,
-    pub held: bool,
+    pub passed: bool,
     pub counts: String,
 }
 
-/// The day of one cell, derived from a kept day.
+/// The day of one cell, derived from `bad-day.txtpb`.
 fn matrix_day(kind: &str, fields: &str, retry_safety: &str, at: f64) -> Result<Day, String> {
     let template =
         include_str!("../../../days/bad-day.txtpb").lines().filter(|line| !line.starts_with("trouble"));
@@ -56,7 +56,7 @@
         .replace("watch_to_s: 12", "watch_to_s: 5")
         .replace("drain_grace_ms: 500", "drain_grace_ms: 1500\nslack_ms: 250");
     let text = format!("{text}\ntrouble {{ kind: {kind} at_s: {at} for_s: 2 {fields} }}\n");
-    day::parse("the matrix", &text).map_err(|e| e.to_string())
+    day::parse("the matrix template", &text).map_err(|e| e.to_string())
 }
 
 /// Plays all kinds of trouble with these retry safeties and phases.
@@ -91,10 +91,10 @@
     let mut cells = Vec::new();
     while let Some(result) = running.join_next().await {
         let (order, name, result) = result.map_err(|e| e.to_string())??;
-        let held = result.verdict.held() && result.orphans == 0;
+        let passed = result.verdict.held() && result.orphans == 0;
         let rule_counts = |rule: usize| result.verdict.findings.get(rule).map_or("", |f| f.counts.as_str());
         let counts = format!("{}; {}", rule_counts(0), rule_counts(1));
-        cells.push((order, MatrixCell { name, held, counts }));
+        cells.push((order, MatrixCell { name, passed, counts }));
     }
     cells.sort_by_key(|(order, _)| *order);
     Ok(cells.into_iter().map(|(_, cell)| cell).collect())
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -255,7 +255,7 @@
         .replace("from: 0.4 warm_after_ms: 4000", "from: 1 warm_after_ms: 1")
         .replace("care: SAFE\n    seats: 12", "care: SAFE")
         .replace("seconds: 30\ndirectors: 2", "seconds: 30\ndirectors: 1");
-    let day = day::parse("the kept day", &text).map_err(|e| e.to_string())?;
+    let day = day::parse("the measurement template", &text).map_err(|e| e.to_string())?;
     let log = play::unjudged_log(out)?;
     let directors = Directors::prepare(&day, out, log.clone(), |_| None)?;
     let path = directors.settings(0).ok_or("the director is not running")?;
--- a/crates/lab/src/net/mod.rs
+++ b/crates/lab/src/net/mod.rs
@@ -51,7 +51,7 @@
         let in_zone = |zone: usize| {
             move |party: &Party| match *party {
                 Party::Director(d) => usize::from(d) % self.zones.len() == zone,
-                Party::Node(n) => n % self.zones.len() == zone,
+                Party::Node(count) => count % self.zones.len() == zone,
                 Party::Viewers => false,
             }
         };
@@ -59,10 +59,10 @@
             ["viewers"] => BTreeSet::from([Party::Viewers]),
             ["directors"] => directors().collect(),
             ["nodes"] => nodes().collect(),
-            ["director", n] => {
-                directors().filter(|&d| Some(d) == n.parse().ok().map(Party::Director)).collect()
+            ["director", count] => {
+                directors().filter(|&d| Some(d) == count.parse().ok().map(Party::Director)).collect()
             }
-            ["node", n] => nodes().filter(|&d| Some(d) == n.parse().ok().map(Party::Node)).collect(),
+            ["node", count] => nodes().filter(|&d| Some(d) == count.parse().ok().map(Party::Node)).collect(),
             ["zone", name] => directors().chain(nodes()).filter(in_zone(zone(name)?)).collect(),
             ["directors", "of", name] => directors().filter(in_zone(zone(name)?)).collect(),
             ["nodes", "of", name] => nodes().filter(in_zone(zone(name)?)).collect(),
@@ -71,11 +71,13 @@
         (!found.is_empty()).then_some(found)
     }
 
+    /// All parties of the day.
     fn all(&self) -> BTreeSet<Party> {
         let directors = (0..self.directors).map(Party::Director);
         directors.chain((0..self.nodes).map(Party::Node)).chain([Party::Viewers]).collect()
     }
 
+    /// The parties that any of the names stands for.
     fn resolve_all(&self, names: &[String]) -> BTreeSet<Party> {
         names.iter().filter_map(|name| self.resolve(name)).flatten().collect()
     }
@@ -85,7 +87,7 @@
 #[derive(Clone, Debug)]
 struct ResolvedFault {
     /// Index of the fault in the day.
-    number: usize,
+    index: usize,
     kind: FaultKind,
     from: BTreeSet<Party>,
     to: BTreeSet<Party>,
@@ -100,9 +102,11 @@
 /// The combined effect of all active faults on one path.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkState {
+    /// Nothing passes.
     pub cut: bool,
+    /// Additional latency.
     pub delay: Duration,
-    /// Probability that a datagram is lost.
+    /// Probability that a datagram is lost, and that data on a connection is delayed like a lost segment.
     pub loss: f64,
     /// Probability that a datagram is delivered twice.
     pub duplicate: f64,
@@ -122,6 +126,7 @@
     messages_left: u32,
 }
 
+/// Faults and other state that changes during the day.
 struct State {
     /// Faults in effect on paths.
     active: Vec<ResolvedFault>,
@@ -168,24 +173,24 @@
         (seed, secret, record): (u64, Option<&str>, bool),
         log: Log,
     ) -> std::io::Result<Arc<Network>> {
-        let n = usize::from(parties.directors);
+        let count = usize::from(parties.directors);
         let mut peer_relays = Vec::new();
-        for _ in 0..n {
+        for _ in 0..count {
             let mut row = Vec::new();
-            for _ in 0..n {
+            for _ in 0..count {
                 row.push(Arc::new(UdpSocket::bind("127.0.0.1:0").await?));
             }
             peer_relays.push(row);
         }
         let mut pending = Vec::new();
-        for (number, fault) in faults.iter().enumerate() {
+        for (index, fault) in faults.iter().enumerate() {
             let from = parties.resolve_all(&fault.from);
             let to = match fault.to.is_empty() {
                 true => parties.all().difference(&from).copied().collect(),
                 false => parties.resolve_all(&fault.to),
             };
             let resolved = ResolvedFault {
-                number,
+                index,
                 kind: fault.deed(),
                 from,
                 to,
@@ -195,14 +200,8 @@
             };
             if let Some(when) = &fault.when {
                 let (from, to) = (parties.resolve_all(&when.from), parties.resolve_all(&when.to));
-                let left = when.nth.unwrap_or(1).max(1);
-                pending.push(PendingFault {
-                    fault: resolved,
-                    message: when.said(),
-                    from,
-                    to,
-                    messages_left: left,
-                });
+                let messages_left = when.nth.unwrap_or(1).max(1);
+                pending.push(PendingFault { fault: resolved, message: when.said(), from, to, messages_left });
             } else {
                 // Starts at a fixed time: kept in the same list, with a count at which no message starts it.
                 pending.push(PendingFault {
@@ -234,7 +233,7 @@
             peer_relays,
             record,
         });
-        for (from, to) in (0..n).flat_map(|a| (0..n).map(move |b| (a, b))).filter(|(a, b)| a != b) {
+        for (from, to) in (0..count).flat_map(|a| (0..count).map(move |b| (a, b))).filter(|(a, b)| a != b) {
             tokio::spawn(udp::relay_datagrams(net.clone(), from, to));
         }
         Ok(net)
@@ -271,12 +270,12 @@
         day_start: Instant,
     ) {
         let _ = self.directors.set(directors);
-        for (number, fault) in faults.iter().enumerate() {
+        for (index, fault) in faults.iter().enumerate() {
             let Some(at) = fault.at_s else { continue };
             let net = self.clone();
             tokio::spawn(async move {
                 tokio::time::sleep_until(day_start + Duration::from_secs_f64(at)).await;
-                if let Some(fault) = net.take_pending(number) {
+                if let Some(fault) = net.take_pending(index) {
                     net.start_fault(fault).await;
                 }
             });
@@ -284,9 +283,9 @@
     }
 
     /// Removes a fault from those that wait.
-    fn take_pending(&self, number: usize) -> Option<ResolvedFault> {
+    fn take_pending(&self, index: usize) -> Option<ResolvedFault> {
         let mut state = self.state();
-        let at = state.pending.iter().position(|pending| pending.fault.number == number)?;
+        let at = state.pending.iter().position(|pending| pending.fault.index == index)?;
         Some(state.pending.remove(at).fault)
     }
 
@@ -294,8 +293,9 @@
         self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
+    /// Wakes tasks that wait for a change of the active faults.
     fn notify_change(&self) {
-        self.changed.send_modify(|n| *n += 1);
+        self.changed.send_modify(|version| *version += 1);
     }
 
     /// The current effect of all active faults on the path from `from` to `to`.
@@ -331,6 +331,7 @@
         }
     }
 
+    /// A random number from 0 to 1.
     fn random_fraction(&self) -> f64 {
         self.state().random.rand_float()
     }
@@ -368,7 +369,7 @@
             if state.finished {
                 return;
             }
-            state.start_counts[fault.number] += 1;
+            state.start_counts[fault.index] += 1;
             if !matches!(fault.kind, FaultKind::Kill | FaultKind::Stop) {
                 state.active.push(fault.clone());
             }
@@ -382,13 +383,13 @@
                 _ => None,
             })
             .collect();
-        let Some(all) = self.directors.get().cloned() else { return };
+        let Some(all_directors) = self.directors.get().cloned() else { return };
         let from = self.log.now();
         for &director in &directors {
             match fault.kind {
-                FaultKind::Kill => all.kill(director).await,
+                FaultKind::Kill => all_directors.kill(director).await,
                 FaultKind::Stop => {
-                    all.pause(director);
+                    all_directors.pause(director);
                     self.state().paused.insert(director);
                 }
                 _ => {}
@@ -405,14 +406,14 @@
                 FaultKind::Kill => {
                     for director in directors {
                         // A failed restart shows in the viewers' traffic.
-                        let _ = all.start(director, net.record).await;
+                        let _ = all_directors.start(director, net.record).await;
                     }
                 }
                 FaultKind::Stop => {
-                    directors.into_iter().for_each(|director| net.resume(&all, director, from))
+                    directors.into_iter().for_each(|director| net.resume(&all_directors, director, from))
                 }
                 _ => {
-                    net.state().active.retain(|active| active.number != fault.number);
+                    net.state().active.retain(|active| active.index != fault.index);
                     net.notify_change();
                     net.report_unreachable_directors(&fault, from);
                 }
@@ -420,6 +421,7 @@
         });
     }
 
+    /// Resumes a director if a fault had stopped it.
     fn resume(&self, directors: &Directors, director: u16, from: f64) {
         if self.state().paused.remove(&director) {
             directors.resume(director, from);
--- a/crates/lab/src/net/tcp.rs
+++ b/crates/lab/src/net/tcp.rs
@@ -13,6 +13,7 @@
 
 use super::{MessageKind, Network, Party, classify};
 
+/// Size of the read buffer of each direction.
 const BUFFER_BYTES: usize = 16 * 1024;
 /// Delay of a lost segment: the minimum retransmission timeout of the Linux kernel.
 const RETRANSMIT_TIMEOUT: Duration = Duration::from_millis(200);
@@ -20,7 +21,9 @@
 /// The SETUP in flight on a connection to a node.
 #[derive(Default)]
 struct SetupInFlight {
+    /// Viewer and attempt of the last SETUP.
     viewer: Option<(u64, u32)>,
+    /// Whether the node has replied to it.
     replied: bool,
 }
 
@@ -35,6 +38,7 @@
     }
 }
 
+/// Connects to the target and relays both directions.
 async fn relay_connection(net: Arc<Network>, client: TcpStream, from: Party, to: Party, target: SocketAddr) {
     let _ = client.set_nodelay(true);
     // A connection attempt over a cut path succeeds when the path heals, unless it was abandoned before.
--- a/crates/lab/src/net/udp.rs
+++ b/crates/lab/src/net/udp.rs
@@ -5,6 +5,7 @@
 
 use super::{Network, Party, classify};
 
+/// Upper limit of the size of a UDP datagram.
 const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 
 /// Relays datagrams in one direction. They are received at the socket where the sender reaches the receiver,
--- a/crates/lab/src/plot.rs
+++ b/crates/lab/src/plot.rs
@@ -6,8 +6,9 @@
 
 use crate::emulator::Report;
 
-/// Size of a plot, and of one row of plots, in pixels.
+/// Width of a plot, in pixels.
 const WIDTH_PX: u32 = 900;
+/// Height of one row of plots, in pixels.
 const ROW_HEIGHT_PX: u32 = 300;
 
 /// Plots first requests and those answered with a session in time, per second and service group, with a row
