--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -149,11 +149,8 @@
             None => run(play_day(file, out, PlayOptions { record, quiet, relayed: true, defect })),
         },
         Command::Emulate { file, no_door, no_share, no_talk, directors, seed, json, plot } => {
-            let disabled = DisabledFeatures {
-                admission: no_door,
-                health_sharing: no_share,
-                peer_communication: no_talk,
-            };
+            let disabled =
+                DisabledFeatures { admission: no_door, state_sharing: no_share, peer_communication: no_talk };
             emulate(&file, &disabled, directors, seed, json.as_deref(), plot.as_deref())
         }
         Command::MeasureShared { file, directors, plot } => {
@@ -241,7 +238,7 @@
 /// Features to disable in an emulated day.
 struct DisabledFeatures {
     admission: bool,
-    health_sharing: bool,
+    state_sharing: bool,
     peer_communication: bool,
 }
 
@@ -259,7 +256,7 @@
     day.seed = seed.or(day.seed);
     if let Some(headend) = &mut day.headend {
         headend.talk = headend.talk.take().filter(|_| !disabled.peer_communication);
-        if let Some(talk) = headend.talk.as_mut().filter(|_| disabled.health_sharing) {
+        if let Some(talk) = headend.talk.as_mut().filter(|_| disabled.state_sharing) {
             talk.share = None;
         }
     }
