--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -258,7 +258,7 @@
     let day = day::parse("the measurement template", &text).map_err(|e| e.to_string())?;
     let log = play::unjudged_log(out)?;
     let directors = Directors::prepare(&day, out, log.clone(), |_| None)?;
-    let path = directors.settings(0).ok_or("the director is not running")?;
+    let path = directors.settings(0).ok_or("the day has no directors")?;
     let settings = std::fs::read_to_string(&path).map_err(|e| e.to_string())?;
     let settings = ashglade_settings::settings("settings", &settings).map_err(|e| e.to_string())?;
     let spec = |i| Spec { name: format!("node-{i}"), rack: 0, places: 100_000, link: 1e9, guard: false };
