--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -180,13 +180,13 @@
         errors += play(&day(&[], troubles)).1.rsplit('/').next().unwrap_or_default();
     }
     expect_test::expect![[r#"
-        day.txtpb:3: seconds: is 0; 1 to 3600 is wanted
-        day.txtpb:66: nodes[0].count: is 0; 1 to 65000 is wanted
-        day.txtpb:66: nodes[0].model: names "huge"; there is small
+        day.txtpb:3: seconds: is 0; expected 1 to 3600
+        day.txtpb:66: nodes[0].count: is 0; expected 1 to 65000
+        day.txtpb:66: nodes[0].model: is "huge"; expected one of: small
         day.txtpb:75: viewers[0].group_share: has 2 shares; 3 are required
-        headend.txtpb:1: rung[1].kb_per_s: the ladder must rise from rung to rung
-        day.txtpb:82: trouble[0].size: is 0.5; 1 to 100 is wanted
-        day.txtpb:82: trouble[0].on[0]: is 12; 0 to 11 is wanted
+        headend.txtpb:1: rung[1].kb_per_s: rates of the ladder must increase from rung to rung, and utilities must not decrease
+        day.txtpb:82: trouble[0].size: is 0.5; expected 1 to 100
+        day.txtpb:82: trouble[0].on[0]: is 12; expected 0 to 11
     "#]]
     .assert_eq(&errors);
 }
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -84,8 +84,8 @@
         fleet.txtpb:70: fault[0]: needs exactly one of at_s and when
         fleet.txtpb:70: fault[0]: needs exactly one of at_s and when
         fleet.txtpb:70: fault[0].when.from[0]: "somebody" names no party; use "director 3", "node 5", "zone NAME" or "viewers"
-        fleet.txtpb:70: fault[0].size: is 2; 0 to 1 is wanted
-        fleet.txtpb:70: fault[0].size: is left out
+        fleet.txtpb:70: fault[0].size: is 2; expected 0 to 1
+        fleet.txtpb:70: fault[0].size: is missing
         fleet.txtpb:70: fault[0].from[0]: only directors can be killed or stopped
         fleet.txtpb:70: fault[0].deed: is missing
     "#]].assert_eq(&errors);
--- a/crates/settings/src/headend.rs
+++ b/crates/settings/src/headend.rs
@@ -1,4 +1,5 @@
-//! Headend settings: checked, and turned into what the module and the shell read at start.
+//! Parses and validates headend settings, and converts them to the configuration of the policy, the engine,
+//! the fronts and the peer transport.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,330 +13,401 @@
 use crate::schema::headend as schema;
 use crate::text::{self, Source, Trouble};
 
-/// Where a title is held, and for whom it is by default.
+/// A title: the cells that store it and its default service group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Title {
+    /// Index of the title in the settings.
     pub id: u64,
+    /// First of the consecutive cells that store the title.
     pub home: CellId,
+    /// Number of cells that store the title.
     pub copies: u16,
+    /// Service group of viewers whose URL names none.
     pub group: Option<GroupId>,
-    /// 1 for video alone, 2 with audio.
+    /// 1 for video only, 2 for video and audio.
     pub tracks: u8,
 }
 
-/// Realm, names and passwords.
+/// The realm of digest authentication, and pairs of user name and password.
 pub type Users = (String, Vec<(String, String)>);
 
-/// What the shell goes by.
+/// Configuration of the RTSP front.
 #[derive(Clone, Debug)]
 pub struct Front {
+    /// Address to listen on.
     pub listen: SocketAddr,
+    /// Service group of viewers for whom neither the URL nor the title names one.
     pub default_group: GroupId,
+    /// Maximum number of viewer connections.
     pub most_connections: usize,
+    /// Time without a message after which a viewer's session ends.
     pub session_timeout: Duration,
+    /// Time after which a connection whose peer accepts no data is closed.
     pub write_timeout: Duration,
+    /// Timeout for connecting to a node.
     pub connect_timeout: Duration,
+    /// Timeout for a node's response to a request of a playing session.
     pub answer_timeout: Duration,
+    /// Maximum number of idle connections in the pool of each node.
     pub idle_connections: usize,
+    /// Interval of keep-alive requests on a playing session's connection to its node.
     pub keep_alive: Duration,
+    /// Time that sessions have to end by themselves after the first stop signal.
     pub drain: Duration,
+    /// Interval at which the node lists are read.
     pub list_poll: Duration,
-    /// RTP ticks a second of each track.
+    /// RTP clock rates of video and audio, in ticks per second.
     pub clock_rates: [u32; 2],
-    /// Those who may come in; all if none.
+    /// Users that may connect. `None` disables authentication.
     pub users: Option<Users>,
+    /// RTSP URL, without trailing slashes, to which viewers are redirected while this director drains.
     pub redirect: Option<String>,
-    /// Path of the ledger, as written.
+    /// Path of the session ledger, relative to the folder of the settings.
     pub ledger: Option<String>,
 }
 
-/// How directors talk to each other.
+/// Configuration of the communication between directors.
 #[derive(Clone)]
 pub struct Talk {
-    /// By number, our own among them.
+    /// Addresses of all directors, this one included, by director index.
     pub peers: Vec<SocketAddr>,
+    /// Shared secret that authenticates messages between directors.
     pub secret: String,
+    /// Duration of a lease.
     pub lease: Duration,
+    /// Maximum clock drift, as a fraction of elapsed time.
     pub drift: f64,
-    /// By number, their zones; all alike where none are named.
+    /// Zone of each director, by director index; all 0 if the settings name none.
     pub zones: Vec<u8>,
+    /// Maximum number of voters on each grant.
     pub council: usize,
+    /// Sharing of health reports and of the retry limit. `None` disables both.
     pub share: Option<Share>,
 }
 
-/// What directors share besides turns at cold nodes.
+/// State that directors share in addition to the leases at slow-starting nodes.
 #[derive(Clone, Debug)]
 pub struct Share {
+    /// Time after which a director's report on a node expires.
     pub fade: Duration,
+    /// Interval of gossip messages.
     pub gossip: Duration,
+    /// Maximum number of bytes that this director sends per second.
     pub bytes_per_s: f64,
+    /// Fleet-wide limit of retries per node. `None` disables it.
     pub repeats: Option<Repeats>,
-    /// Path of the view, as written.
+    /// Path of the status file, relative to the folder of the settings.
     pub view: Option<String>,
 }
 
-/// A bound over all directors on further SETUPs at one node within a span.
+/// Limit of the retries (SETUPs after a session's first) that all directors together send to one node in a
+/// window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Repeats {
+    /// Maximum number of retries per node in a window.
     pub at_node: usize,
+    /// Number of these that each director reserves for itself and never lends.
     pub kept: usize,
+    /// Length of the window.
     pub span: Span,
 }
 
 impl std::fmt::Debug for Talk {
-    /// Secrets are in no log.
+    /// Omits secrets, which must not appear in logs.
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(f, "Talk({:?})", self.peers)
     }
 }
 
-/// The second front.
+/// Configuration of the HLS front.
 #[derive(Clone)]
 pub struct Hls {
+    /// Address to listen on.
     pub listen: SocketAddr,
+    /// Maximum number of viewer connections.
     pub most_connections: usize,
-    /// Id and secret; the first signs.
+    /// Ids and secrets of the token keys. The first signs tokens; all of them verify.
     pub keys: Vec<(u8, String)>,
+    /// Time after which a session must be requested anew, regardless of activity.
     pub token_life: Duration,
 }
 
 impl std::fmt::Debug for Hls {
-    /// Secrets are in no log.
+    /// Omits secrets, which must not appear in logs.
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(f, "Hls({}, {} keys)", self.listen, self.keys.len())
     }
 }
 
-/// The fair door.
+/// Configuration of the admission queue.
 #[derive(Clone, Debug)]
 pub struct Door {
-    /// By service group.
+    /// Weight of each service group, by `GroupId`.
     pub shares: Vec<f64>,
+    /// Maximum number of waiting requests.
     pub most_waiting: usize,
-    /// Set-ups in hand at once: at first, at least, at most.
+    /// Limit of concurrent session set-ups: initial, minimum, maximum.
     pub hands: (f64, f64, f64),
+    /// URL query parameter that identifies the client. `None` identifies clients by address.
     pub client_query: Option<String>,
-    /// The query element that names a tenant, and names and shares; those of others come first, without a name.
+    /// URL query parameter that names the tenant.
     pub tenant_query: Option<String>,
+    /// Names and weights of the tenants. The first entry, with an empty name, stands for viewers of no listed
+    /// tenant.
     pub tenants: Vec<(String, f64)>,
-    /// Path of the view, as written.
+    /// Path of the status file, relative to the folder of the settings.
     pub view: Option<String>,
 }
 
+/// Validated headend settings.
 #[derive(Clone, Debug)]
 pub struct Settings {
+    /// Configuration of the policy.
     pub headend: DirectorConfig,
+    /// Names that node lists may refer to.
     pub names: Names,
+    /// Names of the service groups, by `GroupId`.
     pub group_names: Vec<String>,
+    /// Setup timeouts of the service groups, by `GroupId`.
     pub setup_timeouts: Vec<Span>,
+    /// Titles by name.
     pub titles: BTreeMap<String, Title>,
+    /// Part of the setup timeout that is reserved for the transmission of the response.
     pub answer_margin: Span,
+    /// Timeout of a load probe.
     pub probe_timeout: Span,
+    /// Maximum number of concurrent sessions, including those being set up.
     pub most_sessions: usize,
+    /// Configuration of the RTSP front.
     pub front: Front,
+    /// Configuration of the admission queue. `None` disables it.
     pub door: Option<Door>,
+    /// Configuration of the HLS front. `None` disables it.
     pub hls: Option<Hls>,
+    /// Configuration of the communication with other directors. `None` disables it.
     pub talk: Option<Talk>,
-    /// Paths of the box lists, as written; the first goes before the others.
+    /// Paths of the node lists, relative to the folder of the settings, in order of precedence.
     pub box_lists: Vec<String>,
+    /// Path of the saved copy of the active node list, relative to the folder of the settings.
     pub kept_list: Option<String>,
+    /// Time that a node list which leaves out many ready nodes must remain so before it is accepted.
     pub list_hold: Duration,
 }
 
 impl Settings {
+    /// Returns the index of the highest rung of the ladder.
     pub fn top_rung(&self) -> u8 {
         (self.headend.ladder.len() - 1) as u8
     }
 
-    /// The tenant of that name, by its place in the settings; 0 for the others.
-    pub fn tenant(&self, named: Option<&str>) -> usize {
+    /// Returns the index of the named tenant in `tenants`, or 0 if there is none of that name.
+    pub fn tenant(&self, requested: Option<&str>) -> usize {
         let tenants = self.door.iter().flat_map(|door| &door.tenants).enumerate().skip(1);
-        let mut named = tenants.filter(|(_, (name, _))| Some(name.as_str()) == named);
-        named.next().map_or(0, |(i, _)| i)
+        let mut matches = tenants.filter(|(_, (name, _))| Some(name.as_str()) == requested);
+        matches.next().map_or(0, |(i, _)| i)
     }
 
-    /// The service group of a viewer: that of the URL, else the title's, else the default one. One that the URL
-    /// names and that does not exist is an error of the viewer's.
-    pub fn group_of(&self, named: Option<&str>, title: &Title) -> Option<GroupId> {
-        match named {
+    /// Returns the service group of a viewer: the one that its URL names, or else the title's, or else the
+    /// default. Returns `None` if the URL names a group that doesn't exist, which is the viewer's error.
+    pub fn group_of(&self, requested: Option<&str>, title: &Title) -> Option<GroupId> {
+        match requested {
             Some(name) => self.group_names.iter().position(|known| known == name).map(GroupId),
             None => Some(title.group.unwrap_or(self.front.default_group)),
         }
     }
 }
 
-/// Most rungs, zones, cells, racks: what the ids of the module hold.
-const MOST_SMALL: f64 = 255.0;
-const MOST_CELLS: f64 = 65_535.0;
-/// No time in the settings is longer than a day, in milliseconds.
-const DAY: f64 = 86_400_000.0;
-
-/// Reads and checks headend settings.
+/// Maximum number of zones, rungs, models and service groups, whose ids are bytes in the policy.
+const MAX_BYTE_IDS: f64 = 255.0;
+/// Maximum number of cells, whose ids have 16 bits in the policy.
+const MAX_CELLS: f64 = 65_535.0;
+/// Maximum of each time in the settings, in milliseconds: one day.
+const MAX_TIME_MS: f64 = 86_400_000.0;
+
+/// Parses and validates headend settings. `file` is the name that errors give.
+///
+/// # Errors
+///
+/// Returns the first error in the text, with its line and field.
 pub fn settings(file: &str, text: &str) -> Result<Settings, Trouble> {
-    let (read, at) = text::read::<schema::Headend>(crate::SCHEMA, "ashglade.headend.Headend", file, text)?;
+    let (message, source) =
+        text::read::<schema::Headend>(crate::SCHEMA, "ashglade.headend.Headend", file, text)?;
     let ms = |field: &str, value: Option<u32>, from: f64| -> Result<Span, Trouble> {
-        at.within(field, value.map(f64::from), from, DAY).map(Span::from_ms)
+        source.within(field, value.map(f64::from), from, MAX_TIME_MS).map(Span::from_ms)
     };
-    let zones = read.zone.clone();
-    some(&at, "zone", zones.len(), MOST_SMALL)?;
-    some(&at, "rung", read.rung.len(), MOST_SMALL)?;
-    some(&at, "model", read.model.len(), MOST_SMALL)?;
-    some(&at, "group", read.group.len(), MOST_SMALL)?;
-    some(&at, "title", read.title.len(), 1e7)?;
-    distinct(&at, "zone", zones.iter().map(String::as_str))?;
-
-    let mut places = Vec::new();
-    for (i, model) in read.model.iter().enumerate() {
+    let zones = message.zone.clone();
+    check_count(&source, "zone", zones.len(), MAX_BYTE_IDS)?;
+    check_count(&source, "rung", message.rung.len(), MAX_BYTE_IDS)?;
+    check_count(&source, "model", message.model.len(), MAX_BYTE_IDS)?;
+    check_count(&source, "group", message.group.len(), MAX_BYTE_IDS)?;
+    check_count(&source, "title", message.title.len(), 1e7)?;
+    check_distinct(&source, "zone", zones.iter().map(String::as_str))?;
+
+    let mut max_streams = Vec::new();
+    for (i, model) in message.model.iter().enumerate() {
         let field = |name: &str| format!("model[{i}].{name}");
-        named(&at, &field("name"), &model.name)?;
-        places.push(at.within(&field("places"), model.places.map(f64::from), 1.0, 1e6)?);
+        required_text(&source, &field("name"), &model.name)?;
+        max_streams.push(source.within(&field("places"), model.places.map(f64::from), 1.0, 1e6)?);
     }
-    let models: Vec<String> = read.model.iter().filter_map(|m| m.name.clone()).collect();
-    distinct(&at, "model", models.iter().map(String::as_str))?;
+    let models: Vec<String> = message.model.iter().filter_map(|m| m.name.clone()).collect();
+    check_distinct(&source, "model", models.iter().map(String::as_str))?;
 
     let mut ladder: Vec<(f64, f64)> = Vec::new();
-    for (i, rung) in read.rung.iter().enumerate() {
+    for (i, rung) in message.rung.iter().enumerate() {
         let field = |name: &str| format!("rung[{i}].{name}");
-        let kb = at.within(&field("kb_per_s"), rung.kb_per_s, 1e-3, 1e9)?;
-        let earns = at.within(&field("utility"), rung.utility, 0.0, 1.0)?;
-        if let Some(&(below, earned)) = ladder.last()
-            && (kb <= below || earns < earned)
+        let kb_per_s = source.within(&field("kb_per_s"), rung.kb_per_s, 1e-3, 1e9)?;
+        let utility = source.within(&field("utility"), rung.utility, 0.0, 1.0)?;
+        if let Some(&(lower_kb_per_s, lower_utility)) = ladder.last()
+            && (kb_per_s <= lower_kb_per_s || utility < lower_utility)
         {
-            return Err(at.trouble(&field("kb_per_s"), "the ladder must rise from rung to rung"));
+            return Err(source.trouble(
+                &field("kb_per_s"),
+                "rates of the ladder must increase from rung to rung, and utilities must not decrease",
+            ));
         }
-        ladder.push((kb, earns));
+        ladder.push((kb_per_s, utility));
     }
-    let highest = ladder.len() as f64 - 1.0;
+    let top_rung = ladder.len() as f64 - 1.0;
 
     let (mut groups, mut setup_timeouts, mut group_names) = (Vec::new(), Vec::new(), Vec::new());
-    for (i, g) in read.group.iter().enumerate() {
-        let (group, timeout) = group(&at, i, g, highest)?;
-        group_names.push(named(&at, &format!("group[{i}].name"), &g.name)?);
-        groups.push(group);
+    for (i, group) in message.group.iter().enumerate() {
+        let (service_group, timeout) = self::group(&source, i, group, top_rung)?;
+        group_names.push(required_text(&source, &format!("group[{i}].name"), &group.name)?);
+        groups.push(service_group);
         setup_timeouts.push(timeout);
     }
-    distinct(&at, "group", group_names.iter().map(String::as_str))?;
-    let margin = read.limits.as_ref().and_then(|l| l.answer_margin_ms);
+    check_distinct(&source, "group", group_names.iter().map(String::as_str))?;
+    let margin = message.limits.as_ref().and_then(|l| l.answer_margin_ms);
     let answer_margin = ms("limits.answer_margin_ms", margin, 1.0)?;
     if let Some(i) = setup_timeouts.iter().position(|&timeout| timeout * 0.5 < answer_margin) {
-        return Err(at.trouble(
+        return Err(source.trouble(
             &format!("group[{i}].setup_timeout_ms"),
-            "must be at least twice limits.answer_margin_ms, or no request could be answered in time",
+            "must be at least twice limits.answer_margin_ms; otherwise no request can be answered in time",
         ));
     }
 
-    let links = at.need("links", read.links.as_ref())?;
-    let cells = at.within("links.cells", links.cells.map(f64::from), 1.0, MOST_CELLS)?;
-    let racks = at.within("links.racks", links.racks.map(f64::from), 1.0, cells)?;
+    let links = source.need("links", message.links.as_ref())?;
+    let cells = source.within("links.cells", links.cells.map(f64::from), 1.0, MAX_CELLS)?;
+    let racks = source.within("links.racks", links.racks.map(f64::from), 1.0, cells)?;
     let mut titles = BTreeMap::new();
-    for (i, title) in read.title.iter().enumerate() {
+    for (i, title) in message.title.iter().enumerate() {
         let field = |name: &str| format!("title[{i}].{name}");
-        let name = named(&at, &field("name"), &title.name)?;
+        let name = required_text(&source, &field("name"), &title.name)?;
         if name.contains(['/', '?', '#', ' ', '%']) {
-            return Err(at.trouble(&field("name"), "must be a plain part of a URL's path"));
+            return Err(source
+                .trouble(&field("name"), "must be a URL path segment without '/', '?', '#', '%' or spaces"));
         }
-        let home = at.within(&field("home"), Some(f64::from(title.home.unwrap_or(0))), 0.0, cells - 1.0)?;
+        let home =
+            source.within(&field("home"), Some(f64::from(title.home.unwrap_or(0))), 0.0, cells - 1.0)?;
         let copies =
-            at.within(&field("copies"), Some(title.copies.map_or(cells, f64::from)), 1.0, cells)? as u16;
+            source.within(&field("copies"), Some(title.copies.map_or(cells, f64::from)), 1.0, cells)? as u16;
         let group = match &title.group {
-            Some(group) => Some(GroupId(at.one_of(&field("group"), group, &group_names)?)),
+            Some(group) => Some(GroupId(source.one_of(&field("group"), group, &group_names)?)),
             None => None,
         };
-        let tracks = at.within(&field("tracks"), Some(f64::from(title.tracks.unwrap_or(1))), 1.0, 2.0)? as u8;
-        let held = Title { id: i as u64, home: CellId(home as u16), copies, group, tracks };
-        if titles.insert(name.clone(), held).is_some() {
-            return Err(at.trouble(&field("name"), format!("{name:?} is there twice")));
+        let tracks =
+            source.within(&field("tracks"), Some(f64::from(title.tracks.unwrap_or(1))), 1.0, 2.0)? as u8;
+        let entry = Title { id: i as u64, home: CellId(home as u16), copies, group, tracks };
+        if titles.insert(name.clone(), entry).is_some() {
+            return Err(source.trouble(&field("name"), format!("{name:?} is listed twice")));
         }
     }
 
-    let limits = at.need("limits", read.limits.as_ref())?;
-    let tries =
-        at.within("limits.setups_per_session", limits.setups_per_session.map(f64::from), 1.0, 100.0)?;
-    let retry_after = match limits.max_retry_after_ms {
-        Some(most) => Some(ms("limits.max_retry_after_ms", Some(most), 1.0)?),
+    let limits = source.need("limits", message.limits.as_ref())?;
+    let max_setups =
+        source.within("limits.setups_per_session", limits.setups_per_session.map(f64::from), 1.0, 100.0)?;
+    let max_retry_after = match limits.max_retry_after_ms {
+        Some(limit) => Some(ms("limits.max_retry_after_ms", Some(limit), 1.0)?),
         None => None,
     };
-    let ration = match &limits.ration {
-        Some(r) => Some(RetryBudget {
-            base_retries: at.within("limits.ration.free", r.free, 0.0, 1e9)?,
-            retries_per_session: at.within("limits.ration.per_session", r.per_session, 0.0, 100.0)?,
-            window: ms("limits.ration.span_ms", r.span_ms, 1.0)?,
+    let retry_budget = match &limits.ration {
+        Some(budget) => Some(RetryBudget {
+            base_retries: source.within("limits.ration.free", budget.free, 0.0, 1e9)?,
+            retries_per_session: source.within(
+                "limits.ration.per_session",
+                budget.per_session,
+                0.0,
+                100.0,
+            )?,
+            window: ms("limits.ration.span_ms", budget.span_ms, 1.0)?,
         }),
         None => None,
     };
-    let cold = at.need("cold", read.cold.as_ref())?;
-    let reports = at.need("reports", read.reports.as_ref())?;
-    let director = at.need("director", read.director.as_ref())?;
-    let directors = at.within("director.directors", director.directors.map(f64::from), 1.0, 1e5)?;
-    let number = at.within("director.number", director.number.map(f64::from), 0.0, directors - 1.0)?;
-    let zone = named(&at, "director.zone", &director.zone)?;
-    let zone = ZoneId(at.one_of("director.zone", &zone, &zones)? as u8);
+    let cold = source.need("cold", message.cold.as_ref())?;
+    let reports = source.need("reports", message.reports.as_ref())?;
+    let director = source.need("director", message.director.as_ref())?;
+    let directors = source.within("director.directors", director.directors.map(f64::from), 1.0, 1e5)?;
+    let director_index =
+        source.within("director.number", director.number.map(f64::from), 0.0, directors - 1.0)?;
+    let zone = required_text(&source, "director.zone", &director.zone)?;
+    let zone = ZoneId(source.one_of("director.zone", &zone, &zones)? as u8);
     let probe_timeout = ms("reports.probe_timeout_ms", reports.probe_timeout_ms, 1.0)?;
     let may_probe = reports.may_probe.unwrap_or(false);
-    let probe_price = match (may_probe, reports.probe_price) {
-        (false, price) => price.unwrap_or(0.0),
-        (true, price) => at.within("reports.probe_price", price, 1e-9, 1.0)?,
+    let probe_cost = match (may_probe, reports.probe_price) {
+        (false, cost) => cost.unwrap_or(0.0),
+        (true, cost) => source.within("reports.probe_price", cost, 1e-9, 1.0)?,
     };
 
     let headend = DirectorConfig {
-        seed: at.need("director.seed", director.seed)?,
+        seed: source.need("director.seed", director.seed)?,
         zone,
-        director_index: number as usize,
+        director_index: director_index as usize,
         director_count: directors as usize,
         groups,
         ladder,
-        max_streams: places,
+        max_streams,
         cell_count: cells as u16,
         rack_count: racks as u16,
-        link_kb_per_s_per_weight: at.within("links.unit_kb_per_s", links.unit_kb_per_s, 1e-3, 1e12)?,
-        uplink_kb_per_s: at.within(
+        link_kb_per_s_per_weight: source.within("links.unit_kb_per_s", links.unit_kb_per_s, 1e-3, 1e12)?,
+        uplink_kb_per_s: source.within(
             "links.uplink_kb_per_s",
             Some(links.uplink_kb_per_s.unwrap_or(0.0)),
             0.0,
             1e12,
         )?,
-        live_join_fraction: at.within("links.join", Some(links.join.unwrap_or(1.0)), 0.0, 1.0)?,
-        // A full node says so by its answer; of what its link is asked for then, the schema tells nothing.
+        live_join_fraction: source.within("links.join", Some(links.join.unwrap_or(1.0)), 0.0, 1.0)?,
+        // Nodes report saturation in their responses. The schema has no field for the link demand at which
+        // they do so.
         full_link_demand: 0.0,
         worst_group_weight: 0.0,
         report_delay: ms("reports.notice_ms", reports.notice_ms, 0.0)?,
-        // In the order in which the shell hands figures on.
+        // In the order in which the platform passes load values to the policy.
         load_metrics: vec![LoadMetric::Link, LoadMetric::Uplink, LoadMetric::Streams],
         probe_only: reports.probe_only.unwrap_or(false),
         may_probe,
-        probe_cost: probe_price,
+        probe_cost,
         may_cancel: true,
-        max_retry_after: retry_after,
-        max_setups_per_session: tries as usize,
-        retry_budget: ration,
-        slow_start_initial_fraction: at.within("cold.from", cold.from, 1e-3, 1.0)?,
+        max_retry_after,
+        max_setups_per_session: max_setups as usize,
+        retry_budget,
+        slow_start_initial_fraction: source.within("cold.from", cold.from, 1e-3, 1.0)?,
         slow_start_duration: ms("cold.warm_after_ms", cold.warm_after_ms, 1.0)?,
-        overload_multiple: at.within("cold.fall_multiple", cold.fall_multiple, 0.1, 1e3)?,
+        overload_multiple: source.within("cold.fall_multiple", cold.fall_multiple, 0.1, 1e3)?,
         overload_window: ms("cold.fall_span_ms", cold.fall_span_ms, 1.0)?,
         node_list_max_age: None,
     };
-    let front = front(&at, at.need("front", read.front.as_ref())?, &group_names)?;
-    let door = match &read.door {
-        Some(door) => Some(self::door(&at, door, &read.group)?),
+    let front = front(&source, source.need("front", message.front.as_ref())?, &group_names)?;
+    let door = match &message.door {
+        Some(door) => Some(self::door(&source, door, &message.group)?),
         None => None,
     };
-    let mut box_lists = vec![named(&at, "box_list", &read.box_list)?];
-    box_lists.extend(read.more_box_list.iter().cloned());
-    distinct(&at, "more_box_list", box_lists.iter().map(String::as_str))?;
-    if read.kept_list.as_ref().is_some_and(|kept| box_lists.contains(kept)) {
-        return Err(at.trouble("kept_list", "is one of the lists that are read"));
+    let mut box_lists = vec![required_text(&source, "box_list", &message.box_list)?];
+    box_lists.extend(message.more_box_list.iter().cloned());
+    check_distinct(&source, "more_box_list", box_lists.iter().map(String::as_str))?;
+    if message.kept_list.as_ref().is_some_and(|path| box_lists.contains(path)) {
+        return Err(source.trouble("kept_list", "must differ from the node lists that are read"));
     }
-    let hold = Some(f64::from(read.list_hold_ms.unwrap_or(10_000)));
-    let hold = at.within("list_hold_ms", hold, 0.0, DAY)?;
-    let hls = match &read.hls {
-        Some(hls) => Some(self::hls(&at, hls)?),
+    let hold = Some(f64::from(message.list_hold_ms.unwrap_or(10_000)));
+    let hold = source.within("list_hold_ms", hold, 0.0, MAX_TIME_MS)?;
+    let hls = match &message.hls {
+        Some(hls) => Some(self::hls(&source, hls)?),
         None => None,
     };
-    let talk = match &read.talk {
-        Some(talk) => Some(self::talk(&at, talk, directors as usize, &zones)?),
+    let talk = match &message.talk {
+        Some(talk) => Some(self::talk(&source, talk, directors as usize, &zones)?),
         None => None,
     };
-    let most = limits.most_sessions.map(f64::from);
+    let most_sessions = limits.most_sessions.map(f64::from);
     Ok(Settings {
         names: Names { zones, models, cells: cells as u16, http: hls.is_some() },
         group_names,
@@ -343,266 +415,320 @@
         titles,
         answer_margin,
         probe_timeout,
-        most_sessions: at.within("limits.most_sessions", most, 1.0, 1e7)? as usize,
+        most_sessions: source.within("limits.most_sessions", most_sessions, 1.0, 1e7)? as usize,
         front,
         door,
         hls,
         talk,
         box_lists,
-        kept_list: read.kept_list.clone(),
+        kept_list: message.kept_list.clone(),
         list_hold: Duration::from_secs_f64(hold / 1e3),
         headend,
     })
 }
 
-fn group(at: &Source, i: usize, g: &schema::Group, highest: f64) -> Result<(ServiceGroup, Span), Trouble> {
+/// Validates the service group with index `i`. Returns it with its setup timeout.
+fn group(
+    source: &Source,
+    i: usize,
+    group: &schema::Group,
+    top_rung: f64,
+) -> Result<(ServiceGroup, Span), Trouble> {
     let field = |name: &str| format!("group[{i}].{name}");
-    let target = at.within(&field("start_target_ms"), g.start_target_ms.map(f64::from), 1.0, DAY)?;
-    let timeout = at.within(&field("setup_timeout_ms"), g.setup_timeout_ms.map(f64::from), target, DAY)?;
-    let rung = |name: &str, value: Option<u32>, left_out: f64, from: f64| {
-        at.within(&field(name), Some(value.map_or(left_out, f64::from)), from, highest)
+    let target =
+        source.within(&field("start_target_ms"), group.start_target_ms.map(f64::from), 1.0, MAX_TIME_MS)?;
+    let timeout = source.within(
+        &field("setup_timeout_ms"),
+        group.setup_timeout_ms.map(f64::from),
+        target,
+        MAX_TIME_MS,
+    )?;
+    let rung = |name: &str, value: Option<u32>, default: f64, from: f64| {
+        source.within(&field(name), Some(value.map_or(default, f64::from)), from, top_rung)
     };
-    let floor = rung("floor", g.floor, 0.0, 0.0)?;
-    let top = rung("top", g.top, highest, floor)?;
-    let care = match g.care() {
+    let floor = rung("floor", group.floor, 0.0, 0.0)?;
+    let top = rung("top", group.top, top_rung, floor)?;
+    let retry_safety = match group.care() {
         schema::Care::Safe => interface::RetrySafety::Safe,
         schema::Care::Dedup => interface::RetrySafety::Dedup,
         schema::Care::Fragile => interface::RetrySafety::Fragile,
-        schema::Care::Unset => return Err(at.trouble(&field("care"), "is left out: SAFE, DEDUP or FRAGILE")),
-    };
-    let window = match care {
-        interface::RetrySafety::Dedup => {
-            at.within(&field("repeat_window_ms"), g.repeat_window_ms.map(f64::from), 1.0, DAY)?
+        schema::Care::Unset => {
+            return Err(source.trouble(&field("care"), "is missing; expected SAFE, DEDUP or FRAGILE"));
         }
-        _ => f64::from(g.repeat_window_ms.unwrap_or(0)),
     };
-    let group = ServiceGroup {
+    let retry_window = match retry_safety {
+        interface::RetrySafety::Dedup => source.within(
+            &field("repeat_window_ms"),
+            group.repeat_window_ms.map(f64::from),
+            1.0,
+            MAX_TIME_MS,
+        )?,
+        _ => f64::from(group.repeat_window_ms.unwrap_or(0)),
+    };
+    let service_group = ServiceGroup {
         start_target: Span::from_ms(target),
-        utility: at.within(&field("utility"), g.utility, 1e-6, 1e6)?,
-        retry_safety: care,
-        retry_scope: match g.reach() {
+        utility: source.within(&field("utility"), group.utility, 1e-6, 1e6)?,
+        retry_safety,
+        retry_scope: match group.reach() {
             schema::Reach::Anywhere => RetryScope::Anywhere,
             schema::Reach::SameZone => RetryScope::SameZone,
             schema::Reach::SameCell => RetryScope::SameCell,
         },
-        retry_window: Span::from_ms(window),
-        live: g.live.unwrap_or(false),
-        rate_scale: at.within(&field("rate_scale"), Some(g.rate_scale.unwrap_or(1.0)), 1e-3, 1e3)?,
+        retry_window: Span::from_ms(retry_window),
+        live: group.live.unwrap_or(false),
+        rate_scale: source.within(&field("rate_scale"), Some(group.rate_scale.unwrap_or(1.0)), 1e-3, 1e3)?,
         floor_rung: Rung(floor as u8),
         top_rung: Rung(top as u8),
-        seats: g.seats.unwrap_or(0) as usize,
+        seats: group.seats.unwrap_or(0) as usize,
     };
-    Ok((group, Span::from_ms(timeout)))
+    Ok((service_group, Span::from_ms(timeout)))
 }
 
-fn talk(at: &Source, t: &schema::Talk, directors: usize, names: &[String]) -> Result<Talk, Trouble> {
+/// Validates the settings of the communication between directors.
+fn talk(
+    source: &Source,
+    talk: &schema::Talk,
+    directors: usize,
+    zone_names: &[String],
+) -> Result<Talk, Trouble> {
     let mut peers = Vec::new();
-    for (i, peer) in t.peer.iter().enumerate() {
+    for (i, peer) in talk.peer.iter().enumerate() {
         let field = format!("talk.peer[{i}]");
         let address = peer.parse();
-        let address = address
-            .map_err(|_| at.trouble(&field, format!("{peer:?} is no address and port, as 127.0.0.1:7000")))?;
+        let address = address.map_err(|_| {
+            source.trouble(&field, format!("{peer:?} is not an address and port such as 127.0.0.1:7000"))
+        })?;
         if peers.contains(&address) {
-            return Err(at.trouble(&field, format!("{peer:?} is there twice")));
+            return Err(source.trouble(&field, format!("{peer:?} is listed twice")));
         }
         peers.push(address);
     }
     if peers.len() != directors {
-        return Err(at.trouble("talk.peer", format!("names {} of {directors} directors", peers.len())));
-    }
-    let secret = named(at, "talk.secret", &t.secret)?;
-    if secret.len() < 16 {
         return Err(
-            at.trouble("talk.secret", format!("has {} characters; 16 at least are wanted", secret.len()))
+            source.trouble("talk.peer", format!("has {} entries for {directors} directors", peers.len()))
         );
     }
-    let lease = at.within("talk.lease_ms", t.lease_ms.map(f64::from), 500.0, DAY)?;
-    let drift = at.within("talk.drift", Some(t.drift.unwrap_or(0.01)), 0.0, 0.5)?;
-    let of_zone = |(i, zone): (usize, &String)| {
-        at.one_of(&format!("talk.peer_zone[{i}]"), zone, names).map(|zone| zone as u8)
+    let secret = required_text(source, "talk.secret", &talk.secret)?;
+    if secret.len() < 16 {
+        return Err(source
+            .trouble("talk.secret", format!("has {} characters; at least 16 are required", secret.len())));
+    }
+    let lease = source.within("talk.lease_ms", talk.lease_ms.map(f64::from), 500.0, MAX_TIME_MS)?;
+    let drift = source.within("talk.drift", Some(talk.drift.unwrap_or(0.01)), 0.0, 0.5)?;
+    let zone_id = |(i, zone): (usize, &String)| {
+        source.one_of(&format!("talk.peer_zone[{i}]"), zone, zone_names).map(|zone| zone as u8)
     };
-    let mut zones: Vec<u8> = t.peer_zone.iter().enumerate().map(of_zone).collect::<Result<_, _>>()?;
+    let mut zones: Vec<u8> = talk.peer_zone.iter().enumerate().map(zone_id).collect::<Result<_, _>>()?;
     if zones.is_empty() {
         zones = vec![0; directors];
     }
     if zones.len() != directors {
-        return Err(at.trouble("talk.peer_zone", format!("names {} of {directors} directors", zones.len())));
+        return Err(source
+            .trouble("talk.peer_zone", format!("has {} entries for {directors} directors", zones.len())));
     }
-    let council = at.within("talk.council", Some(f64::from(t.council.unwrap_or(9))), 1.0, 99.0)?;
-    let share = t.share.as_ref().map(|share| self::share(at, share, directors)).transpose()?;
+    let council = source.within("talk.council", Some(f64::from(talk.council.unwrap_or(9))), 1.0, 99.0)?;
+    let share = talk.share.as_ref().map(|share| self::share(source, share, directors)).transpose()?;
     let lease = Duration::from_secs_f64(lease / 1e3);
     Ok(Talk { peers, secret, lease, drift, zones, council: council as usize, share })
 }
 
-fn share(at: &Source, s: &schema::Share, directors: usize) -> Result<Share, Trouble> {
-    let ms = |field: &str, value: Option<u32>, usual: f64, from: f64, to: f64| {
-        let value = value.map_or(usual, f64::from);
-        at.within(field, Some(value), from, to).map(|ms| Duration::from_secs_f64(ms / 1e3))
+/// Validates the settings of the state that directors share.
+fn share(source: &Source, share: &schema::Share, directors: usize) -> Result<Share, Trouble> {
+    let ms = |field: &str, value: Option<u32>, default: f64, from: f64, to: f64| {
+        let value = value.map_or(default, f64::from);
+        source.within(field, Some(value), from, to).map(|ms| Duration::from_secs_f64(ms / 1e3))
     };
-    let repeats = match &s.repeats {
+    let repeats = match &share.repeats {
         Some(repeats) => {
-            let most = repeats.at_node.map(f64::from);
-            let at_node = at.within("talk.share.repeats.at_node", most, 1.0, 10_000.0)? as usize;
-            let span = at.within("talk.share.repeats.span_ms", repeats.span_ms.map(f64::from), 100.0, DAY)?;
+            let at_node = repeats.at_node.map(f64::from);
+            let at_node = source.within("talk.share.repeats.at_node", at_node, 1.0, 10_000.0)? as usize;
+            let span = source.within(
+                "talk.share.repeats.span_ms",
+                repeats.span_ms.map(f64::from),
+                100.0,
+                MAX_TIME_MS,
+            )?;
             let kept = repeats.kept.unwrap_or(0) as usize;
             if kept.saturating_mul(directors) > at_node {
-                let what =
-                    format!("{kept} for each of {directors} directors is more than at_node, {at_node}");
-                return Err(at.trouble("talk.share.repeats.kept", what));
+                let error =
+                    format!("{kept} for each of {directors} directors exceeds at_node, which is {at_node}");
+                return Err(source.trouble("talk.share.repeats.kept", error));
             }
             Some(Repeats { at_node, kept, span: Span::from_ms(span) })
         }
         None => None,
     };
-    let bytes = Some(s.bytes_per_s.unwrap_or(65_536.0));
+    let bytes_per_s = Some(share.bytes_per_s.unwrap_or(65_536.0));
     Ok(Share {
-        fade: ms("talk.share.fade_ms", s.fade_ms, 10_000.0, 1000.0, 600_000.0)?,
-        gossip: ms("talk.share.gossip_ms", s.gossip_ms, 200.0, 20.0, 60_000.0)?,
-        bytes_per_s: at.within("talk.share.bytes_per_s", bytes, 4096.0, 1e9)?,
+        fade: ms("talk.share.fade_ms", share.fade_ms, 10_000.0, 1000.0, 600_000.0)?,
+        gossip: ms("talk.share.gossip_ms", share.gossip_ms, 200.0, 20.0, 60_000.0)?,
+        bytes_per_s: source.within("talk.share.bytes_per_s", bytes_per_s, 4096.0, 1e9)?,
         repeats,
-        view: s.view.clone(),
+        view: share.view.clone(),
     })
 }
 
-fn hls(at: &Source, h: &schema::Hls) -> Result<Hls, Trouble> {
-    let listen = named(at, "hls.listen", &h.listen)?;
+/// Validates the settings of the HLS front.
+fn hls(source: &Source, hls: &schema::Hls) -> Result<Hls, Trouble> {
+    let listen = required_text(source, "hls.listen", &hls.listen)?;
     let listen = listen.parse().map_err(|_| {
-        at.trouble("hls.listen", format!("{listen:?} is no address and port, as 127.0.0.1:8080"))
+        source.trouble("hls.listen", format!("{listen:?} is not an address and port such as 127.0.0.1:8080"))
     })?;
     let mut keys: Vec<(u8, String)> = Vec::new();
-    some(at, "hls.key", h.key.len(), 8.0)?;
-    for (i, key) in h.key.iter().enumerate() {
+    check_count(source, "hls.key", hls.key.len(), 8.0)?;
+    for (i, key) in hls.key.iter().enumerate() {
         let field = format!("hls.key[{i}].id");
-        let id = at.within(&field, key.id.map(f64::from), 0.0, 255.0)? as u8;
+        let id = source.within(&field, key.id.map(f64::from), 0.0, 255.0)? as u8;
         if keys.iter().any(|(other, _)| *other == id) {
-            return Err(at.trouble(&field, format!("{id} is there twice")));
+            return Err(source.trouble(&field, format!("{id} is listed twice")));
         }
         let field = format!("hls.key[{i}].secret");
-        let secret = named(at, &field, &key.secret)?;
+        let secret = required_text(source, &field, &key.secret)?;
         if secret.len() < 16 {
             return Err(
-                at.trouble(&field, format!("has {} characters; 16 at least are wanted", secret.len()))
+                source.trouble(&field, format!("has {} characters; at least 16 are required", secret.len()))
             );
         }
         keys.push((id, secret));
     }
-    let life = at.within("hls.token_life_s", h.token_life_s.map(f64::from), 1.0, DAY / 1e3)?;
+    let token_life =
+        source.within("hls.token_life_s", hls.token_life_s.map(f64::from), 1.0, MAX_TIME_MS / 1e3)?;
     Ok(Hls {
         listen,
-        most_connections: at.within("hls.most_connections", h.most_connections.map(f64::from), 1.0, 1e6)?
-            as usize,
+        most_connections: source.within(
+            "hls.most_connections",
+            hls.most_connections.map(f64::from),
+            1.0,
+            1e6,
+        )? as usize,
         keys,
-        token_life: Duration::from_secs_f64(life),
+        token_life: Duration::from_secs_f64(token_life),
     })
 }
 
-fn door(at: &Source, d: &schema::Door, groups: &[schema::Group]) -> Result<Door, Trouble> {
+/// Validates the settings of the admission queue.
+fn door(source: &Source, door: &schema::Door, groups: &[schema::Group]) -> Result<Door, Trouble> {
     let mut shares = Vec::new();
     for (i, group) in groups.iter().enumerate() {
         let share = Some(group.share.unwrap_or(1.0));
-        shares.push(at.within(&format!("group[{i}].share"), share, 1e-3, 1e6)?);
+        shares.push(source.within(&format!("group[{i}].share"), share, 1e-3, 1e6)?);
     }
     let mut tenants = vec![(String::new(), 1.0)];
-    for (i, tenant) in d.tenant.iter().enumerate() {
-        let name = named(at, &format!("door.tenant[{i}].name"), &tenant.name)?;
-        let share = at.within(&format!("door.tenant[{i}].share"), tenant.share, 1e-3, 1e6)?;
+    for (i, tenant) in door.tenant.iter().enumerate() {
+        let name = required_text(source, &format!("door.tenant[{i}].name"), &tenant.name)?;
+        let share = source.within(&format!("door.tenant[{i}].share"), tenant.share, 1e-3, 1e6)?;
         tenants.push((name, share));
     }
-    distinct(at, "door.tenant", d.tenant.iter().filter_map(|t| t.name.as_deref()))?;
+    check_distinct(source, "door.tenant", door.tenant.iter().filter_map(|t| t.name.as_deref()))?;
     let count = |name: &str, value: Option<u32>, from: f64| {
-        at.within(&format!("door.{name}"), value.map(f64::from), from, 1e6)
+        source.within(&format!("door.{name}"), value.map(f64::from), from, 1e6)
     };
-    let least = count("least", d.least, 1.0)?;
-    let first = count("first", d.first, least)?;
+    let least = count("least", door.least, 1.0)?;
+    let first = count("first", door.first, least)?;
     Ok(Door {
         shares,
-        most_waiting: count("most_waiting", d.most_waiting, 1.0)? as usize,
-        hands: (first, least, count("most", d.most, first)?),
-        client_query: d.client_query.clone(),
-        tenant_query: d.tenant_query.clone(),
+        most_waiting: count("most_waiting", door.most_waiting, 1.0)? as usize,
+        hands: (first, least, count("most", door.most, first)?),
+        client_query: door.client_query.clone(),
+        tenant_query: door.tenant_query.clone(),
         tenants,
-        view: d.view.clone(),
+        view: door.view.clone(),
     })
 }
 
-fn front(at: &Source, f: &schema::Front, groups: &[String]) -> Result<Front, Trouble> {
+/// Validates the settings of the RTSP front.
+fn front(source: &Source, front: &schema::Front, group_names: &[String]) -> Result<Front, Trouble> {
     let time = |name: &str, value: Option<u32>| -> Result<Duration, Trouble> {
-        let ms = at.within(&format!("front.{name}"), value.map(f64::from), 1.0, DAY)?;
+        let ms = source.within(&format!("front.{name}"), value.map(f64::from), 1.0, MAX_TIME_MS)?;
         Ok(Duration::from_secs_f64(ms / 1e3))
     };
     let count = |name: &str, value: Option<u32>, from: f64, to: f64| {
-        at.within(&format!("front.{name}"), value.map(f64::from), from, to)
+        source.within(&format!("front.{name}"), value.map(f64::from), from, to)
     };
-    let listen = named(at, "front.listen", &f.listen)?;
+    let listen = required_text(source, "front.listen", &front.listen)?;
     let listen = listen.parse().map_err(|_| {
-        at.trouble("front.listen", format!("{listen:?} is no address and port, as 127.0.0.1:8554"))
+        source
+            .trouble("front.listen", format!("{listen:?} is not an address and port such as 127.0.0.1:8554"))
     })?;
-    let default = named(at, "front.default_group", &f.default_group)?;
+    let default_group = required_text(source, "front.default_group", &front.default_group)?;
     Ok(Front {
         listen,
-        default_group: GroupId(at.one_of("front.default_group", &default, groups)?),
-        most_connections: count("most_connections", f.most_connections, 1.0, 1e6)? as usize,
-        session_timeout: Duration::from_secs(
-            count("session_timeout_s", f.session_timeout_s, 1.0, 86_400.0)? as u64
-        ),
-        write_timeout: time("write_timeout_ms", f.write_timeout_ms)?,
-        connect_timeout: time("connect_timeout_ms", f.connect_timeout_ms)?,
-        answer_timeout: time("answer_timeout_ms", f.answer_timeout_ms)?,
-        idle_connections: count("idle_connections", f.idle_connections, 0.0, 1e4)? as usize,
-        keep_alive: time("keep_alive_ms", f.keep_alive_ms)?,
-        drain: time("drain_ms", f.drain_ms)?,
-        list_poll: time("list_poll_ms", f.list_poll_ms)?,
+        default_group: GroupId(source.one_of("front.default_group", &default_group, group_names)?),
+        most_connections: count("most_connections", front.most_connections, 1.0, 1e6)? as usize,
+        session_timeout: Duration::from_secs(count(
+            "session_timeout_s",
+            front.session_timeout_s,
+            1.0,
+            86_400.0,
+        )? as u64),
+        write_timeout: time("write_timeout_ms", front.write_timeout_ms)?,
+        connect_timeout: time("connect_timeout_ms", front.connect_timeout_ms)?,
+        answer_timeout: time("answer_timeout_ms", front.answer_timeout_ms)?,
+        idle_connections: count("idle_connections", front.idle_connections, 0.0, 1e4)? as usize,
+        keep_alive: time("keep_alive_ms", front.keep_alive_ms)?,
+        drain: time("drain_ms", front.drain_ms)?,
+        list_poll: time("list_poll_ms", front.list_poll_ms)?,
         clock_rates: [
-            count("clock_rate", Some(f.clock_rate.unwrap_or(90_000)), 1_000.0, 1e9)? as u32,
-            count("audio_clock_rate", Some(f.audio_clock_rate.unwrap_or(48_000)), 1_000.0, 1e9)? as u32,
+            count("clock_rate", Some(front.clock_rate.unwrap_or(90_000)), 1_000.0, 1e9)? as u32,
+            count("audio_clock_rate", Some(front.audio_clock_rate.unwrap_or(48_000)), 1_000.0, 1e9)? as u32,
         ],
-        users: users(at, f)?,
-        redirect: match &f.redirect {
-            Some(to) if to.starts_with("rtsp://") => Some(to.trim_end_matches('/').to_string()),
-            Some(to) => {
-                return Err(at.trouble("front.redirect", format!("{to:?} does not begin with rtsp://")));
+        users: users(source, front)?,
+        redirect: match &front.redirect {
+            Some(url) if url.starts_with("rtsp://") => Some(url.trim_end_matches('/').to_string()),
+            Some(url) => {
+                return Err(source.trouble("front.redirect", format!("{url:?} must start with rtsp://")));
             }
             None => None,
         },
-        ledger: f.ledger.clone(),
+        ledger: front.ledger.clone(),
     })
 }
 
-fn users(at: &Source, f: &schema::Front) -> Result<Option<Users>, Trouble> {
-    if f.user.is_empty() {
+/// Validates the users and the realm. Returns `None` if there are no users.
+fn users(source: &Source, front: &schema::Front) -> Result<Option<Users>, Trouble> {
+    if front.user.is_empty() {
         return Ok(None);
     }
-    let realm = named(at, "front.realm", &f.realm)?;
+    let realm = required_text(source, "front.realm", &front.realm)?;
     let mut users = Vec::new();
-    for (i, user) in f.user.iter().enumerate() {
-        let name = named(at, &format!("front.user[{i}].name"), &user.name)?;
-        users.push((name, named(at, &format!("front.user[{i}].password"), &user.password)?));
+    for (i, user) in front.user.iter().enumerate() {
+        let name = required_text(source, &format!("front.user[{i}].name"), &user.name)?;
+        users.push((name, required_text(source, &format!("front.user[{i}].password"), &user.password)?));
     }
-    distinct(at, "front.user", users.iter().map(|(name, _)| name.as_str()))?;
+    check_distinct(source, "front.user", users.iter().map(|(name, _)| name.as_str()))?;
     if realm.contains('"') {
-        return Err(at.trouble("front.realm", "must not hold quotes"));
+        return Err(source.trouble("front.realm", "must not contain quotation marks"));
     }
     Ok(Some((realm, users)))
 }
 
-fn some(at: &Source, field: &str, count: usize, most: f64) -> Result<(), Trouble> {
+/// Checks the number of entries of a repeated field, which must be from 1 to `max`.
+fn check_count(source: &Source, field: &str, count: usize, max: f64) -> Result<(), Trouble> {
     match count {
-        0 => Err(at.trouble(field, "is left out; one at least is wanted")),
-        n if n as f64 > most => Err(at.trouble(field, format!("{n} of them; {most} at most"))),
+        0 => Err(source.trouble(field, "is missing; at least one is required")),
+        n if n as f64 > max => {
+            Err(source.trouble(field, format!("has {n} entries; at most {max} are allowed")))
+        }
         _ => Ok(()),
     }
 }
 
-pub(crate) fn named(at: &Source, field: &str, name: &Option<String>) -> Result<String, Trouble> {
-    let name = at.need(field, name.as_deref())?;
-    if name.is_empty() { Err(at.trouble(field, "is empty")) } else { Ok(name.to_string()) }
+/// Returns the value of a required text field, which must not be empty.
+pub(crate) fn required_text(source: &Source, field: &str, name: &Option<String>) -> Result<String, Trouble> {
+    let name = source.need(field, name.as_deref())?;
+    if name.is_empty() { Err(source.trouble(field, "is empty")) } else { Ok(name.to_string()) }
 }
 
-fn distinct<'a>(at: &Source, field: &str, names: impl Iterator<Item = &'a str>) -> Result<(), Trouble> {
+/// Checks that no name occurs twice in a repeated field.
+fn check_distinct<'a>(
+    source: &Source,
+    field: &str,
+    names: impl Iterator<Item = &'a str>,
+) -> Result<(), Trouble> {
     let mut seen = std::collections::BTreeSet::new();
     for (i, name) in names.enumerate() {
         if !seen.insert(name) {
-            return Err(at.trouble(&format!("{field}[{i}]"), format!("{name:?} is there twice")));
+            return Err(source.trouble(&format!("{field}[{i}]"), format!("{name:?} is listed twice")));
         }
     }
     Ok(())
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const GOOD: &str = r#"zone: "a" zone: "b"
+const VALID_SETTINGS: &str = r#"zone: "a" zone: "b"
 model { name: "small" places: 24 }
 rung { kb_per_s: 100 utility: 0.3 }
 rung { kb_per_s: 200 utility: 1 }
@@ -26,19 +26,19 @@
 "#;
 
 #[test]
-fn settings_become_the_headend() {
-    let read = settings("h.txtpb", GOOD).unwrap();
-    let h = &read.headend;
+fn settings_are_converted_to_the_policy_configuration() {
+    let parsed = settings("h.txtpb", VALID_SETTINGS).unwrap();
+    let config = &parsed.headend;
     let text = format!(
         "director {} of {} in zone {}; {:?}; {} holds cells {}+{}; margin {} ms",
-        h.director_index,
-        h.director_count,
-        h.zone.0,
-        h.ladder,
-        read.titles.keys().next().unwrap(),
-        read.titles["renewal"].home.0,
-        read.titles["renewal"].copies,
-        read.answer_margin.as_ms()
+        config.director_index,
+        config.director_count,
+        config.zone.0,
+        config.ladder,
+        parsed.titles.keys().next().unwrap(),
+        parsed.titles["renewal"].home.0,
+        parsed.titles["renewal"].copies,
+        parsed.answer_margin.as_ms()
     );
     expect![
         "director 0 of 2 in zone 1; [(100.0, 0.3), (200.0, 1.0)]; renewal holds cells 0+2; margin 200 ms"
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn errors_name_file_line_and_field() {
+fn settings_errors_name_file_line_and_field() {
     let cases = [
         ("places: 24", "places: 0"),
         ("places: 24", "places: many"),
@@ -68,64 +68,64 @@
         ("box_list: \"boxes.txtpb\"", ""),
         ("zone: \"a\" zone: \"b\"", "zone: \"b\" zone: \"b\""),
     ];
-    let mut told = String::new();
+    let mut messages = String::new();
     for (from, to) in cases {
-        let text = GOOD.replacen(from, to, 1);
-        assert_ne!(text, GOOD, "{from} is in the text");
-        told += &match settings("h.txtpb", &text) {
-            Ok(_) => format!("{to} was taken\n"),
-            Err(trouble) => format!("{trouble}\n"),
+        let text = VALID_SETTINGS.replacen(from, to, 1);
+        assert_ne!(text, VALID_SETTINGS, "the settings contain no {from}");
+        messages += &match settings("h.txtpb", &text) {
+            Ok(_) => format!("{to} was accepted\n"),
+            Err(error) => format!("{error}\n"),
         };
     }
     expect![[r#"
-        h.txtpb:2: model[0].places: is 0; 1 to 1000000 is wanted
+        h.txtpb:2: model[0].places: is 0; expected 1 to 1000000
         h.txtpb:2: expected an integer, but found 'many'
         h.txtpb:2: field 'place' not found for message 'ashglade.headend.Model'
-        h.txtpb:4: rung[1].kb_per_s: the ladder must rise from rung to rung
-        h.txtpb:7: group[0].setup_timeout_ms: is 900; 1000 to 86400000 is wanted
-        h.txtpb:5: group[0].setup_timeout_ms: is left out
-        h.txtpb:5: group[0].care: is left out: SAFE, DEDUP or FRAGILE
-        h.txtpb:5: group[0].repeat_window_ms: is left out
-        h.txtpb:8: group[0].utility: is NaN; 0.000001 to 1000000 is wanted
-        h.txtpb:10: title[0].home: is 3; 0 to 2 is wanted
-        h.txtpb:10: title[0].name: must be a plain part of a URL's path
-        h.txtpb:15: director.zone: names "c"; there is a, b
-        h.txtpb:7: group[0].setup_timeout_ms: must be at least twice limits.answer_margin_ms, or no request could be answered in time
-        h.txtpb:15: director.number: is 2; 0 to 1 is wanted
-        h.txtpb:17: front.listen: "here" is no address and port, as 127.0.0.1:8554
+        h.txtpb:4: rung[1].kb_per_s: rates of the ladder must increase from rung to rung, and utilities must not decrease
+        h.txtpb:7: group[0].setup_timeout_ms: is 900; expected 1000 to 86400000
+        h.txtpb:5: group[0].setup_timeout_ms: is missing
+        h.txtpb:5: group[0].care: is missing; expected SAFE, DEDUP or FRAGILE
+        h.txtpb:5: group[0].repeat_window_ms: is missing
+        h.txtpb:8: group[0].utility: is NaN; expected 0.000001 to 1000000
+        h.txtpb:10: title[0].home: is 3; expected 0 to 2
+        h.txtpb:10: title[0].name: must be a URL path segment without '/', '?', '#', '%' or spaces
+        h.txtpb:15: director.zone: is "c"; expected one of: a, b
+        h.txtpb:7: group[0].setup_timeout_ms: must be at least twice limits.answer_margin_ms; otherwise no request can be answered in time
+        h.txtpb:15: director.number: is 2; expected 0 to 1
+        h.txtpb:17: front.listen: "here" is not an address and port such as 127.0.0.1:8554
         h.txtpb:16: expected '}' or a field name, but found '{'
-        h.txtpb:1: box_list: is left out
-        h.txtpb:1: zone[1]: "b" is there twice
-    "#]].assert_eq(&told);
+        h.txtpb:1: box_list: is missing
+        h.txtpb:1: zone[1]: "b" is listed twice
+    "#]].assert_eq(&messages);
 }
 
 #[test]
-fn a_share_of_nothing_is_no_share() {
+fn admission_shares_and_limits_are_validated() {
     let door = "door { most_waiting: 50 first: 8 least: 2 most: 100 tenant_query: \"t\" tenant { name: \"x\" share: 2 } }\n";
-    let good = GOOD.replace("front {", &format!("{door}front {{"));
-    assert_eq!(settings("h.txtpb", &good).unwrap().door.unwrap().tenants.len(), 2);
-    let mut told = String::new();
+    let valid_settings = VALID_SETTINGS.replace("front {", &format!("{door}front {{"));
+    assert_eq!(settings("h.txtpb", &valid_settings).unwrap().door.unwrap().tenants.len(), 2);
+    let mut messages = String::new();
     for (from, to) in
         [("utility: 2 ", "utility: 2 share: 0 "), ("share: 2", "share: 0"), ("least: 2", "least: 9")]
     {
-        told += &settings("h.txtpb", &good.replacen(from, to, 1))
-            .map_or_else(|e| format!("{e}\n"), |_| "taken\n".into());
+        messages += &settings("h.txtpb", &valid_settings.replacen(from, to, 1))
+            .map_or_else(|e| format!("{e}\n"), |_| "accepted\n".into());
     }
     expect![[r#"
-        h.txtpb:8: group[0].share: is 0; 0.001 to 1000000 is wanted
-        h.txtpb:16: door.tenant[0].share: is 0; 0.001 to 1000000 is wanted
-        h.txtpb:16: door.first: is 8; 9 to 1000000 is wanted
+        h.txtpb:8: group[0].share: is 0; expected 0.001 to 1000000
+        h.txtpb:16: door.tenant[0].share: is 0; expected 0.001 to 1000000
+        h.txtpb:16: door.first: is 8; expected 9 to 1000000
     "#]]
-    .assert_eq(&told);
+    .assert_eq(&messages);
 }
 
 #[test]
-fn the_second_front_and_what_it_wants_of_boxes() {
+fn hls_settings_are_validated_and_require_http_addresses_of_nodes() {
     let hls = "hls { listen: \"127.0.0.1:8080\" most_connections: 9 token_life_s: 60 key { id: 1 secret: \"0123456789abcdef\" } }\n";
-    let good = GOOD.replace("front {", &format!("{hls}front {{"));
-    let read = settings("h.txtpb", &good).unwrap();
-    assert_eq!(format!("{:?}", read.hls.unwrap()), "Hls(127.0.0.1:8080, 1 keys)");
-    let mut told = String::new();
+    let valid_settings = VALID_SETTINGS.replace("front {", &format!("{hls}front {{"));
+    let parsed = settings("h.txtpb", &valid_settings).unwrap();
+    assert_eq!(format!("{:?}", parsed.hls.unwrap()), "Hls(127.0.0.1:8080, 1 keys)");
+    let mut messages = String::new();
     for (from, to) in [
         ("127.0.0.1:8080", "8080"),
         ("id: 1", "id: 300"),
@@ -133,41 +133,42 @@
         ("} }\nfront", "} key { id: 1 secret: \"0123456789abcdef\" } }\nfront"),
         ("key { id: 1 secret: \"0123456789abcdef\" }", ""),
     ] {
-        let text = good.replacen(from, to, 1);
-        assert_ne!(text, good, "{from}");
-        told += &settings("h.txtpb", &text).map_or_else(|e| format!("{e}\n"), |_| "taken\n".into());
+        let text = valid_settings.replacen(from, to, 1);
+        assert_ne!(text, valid_settings, "{from}");
+        messages += &settings("h.txtpb", &text).map_or_else(|e| format!("{e}\n"), |_| "accepted\n".into());
     }
-    let boxes_of = |more: &str| {
+    let node_list_with = |extra_fields: &str| {
         format!(
-            "generation: 1\nbox {{ name: \"n\" address: \"127.0.0.1:1\" zone: \"a\" model: \"small\" cell: 1 weight: 1 {more}}}"
+            "generation: 1\nbox {{ name: \"n\" address: \"127.0.0.1:1\" zone: \"a\" model: \"small\" cell: 1 weight: 1 {extra_fields}}}"
         )
     };
-    told += &format!("{}\n", boxes("b.txtpb", &boxes_of(""), &read.names).unwrap_err());
-    told += &format!("{}\n", boxes("b.txtpb", &boxes_of("http: \"x\""), &read.names).unwrap_err());
-    let list = boxes("b.txtpb", &boxes_of("http: \"127.0.0.1:2\" "), &read.names).unwrap();
-    assert_eq!(boxes("b.txtpb", &write_boxes(&list, &read.names), &read.names).unwrap(), list);
+    messages += &format!("{}\n", boxes("b.txtpb", &node_list_with(""), &parsed.names).unwrap_err());
+    messages +=
+        &format!("{}\n", boxes("b.txtpb", &node_list_with("http: \"x\""), &parsed.names).unwrap_err());
+    let list = boxes("b.txtpb", &node_list_with("http: \"127.0.0.1:2\" "), &parsed.names).unwrap();
+    assert_eq!(boxes("b.txtpb", &write_boxes(&list, &parsed.names), &parsed.names).unwrap(), list);
     expect![[r#"
-        h.txtpb:16: hls.listen: "8080" is no address and port, as 127.0.0.1:8080
-        h.txtpb:16: hls.key[0].id: is 300; 0 to 255 is wanted
-        h.txtpb:16: hls.key[0].secret: has 5 characters; 16 at least are wanted
-        h.txtpb:16: hls.key[1].id: 1 is there twice
-        h.txtpb:16: hls.key: is left out; one at least is wanted
-        b.txtpb:2: box[0].http: is left out, and the settings have `hls`
-        b.txtpb:2: box[0].http: "x" is no address and port, as 127.0.0.1:8080
+        h.txtpb:16: hls.listen: "8080" is not an address and port such as 127.0.0.1:8080
+        h.txtpb:16: hls.key[0].id: is 300; expected 0 to 255
+        h.txtpb:16: hls.key[0].secret: has 5 characters; at least 16 are required
+        h.txtpb:16: hls.key[1].id: 1 is listed twice
+        h.txtpb:16: hls.key: is missing; at least one is required
+        b.txtpb:2: box[0].http: is missing; the settings contain `hls`, which requires it
+        b.txtpb:2: box[0].http: "x" is not an address and port such as 127.0.0.1:8080
     "#]]
-    .assert_eq(&told);
+    .assert_eq(&messages);
 }
 
 #[test]
-fn directors_that_talk_name_each_other_once() {
+fn peer_settings_list_each_director_once() {
     let talk =
         "talk { peer: \"127.0.0.1:1\" peer: \"127.0.0.1:2\" secret: \"0123456789abcdef\" lease_ms: 3000 }\n";
-    let good = GOOD.replace("front {", &format!("{talk}front {{"));
+    let valid_settings = VALID_SETTINGS.replace("front {", &format!("{talk}front {{"));
     assert_eq!(
-        format!("{:?}", settings("h.txtpb", &good).unwrap().talk.unwrap()),
+        format!("{:?}", settings("h.txtpb", &valid_settings).unwrap().talk.unwrap()),
         "Talk([127.0.0.1:1, 127.0.0.1:2])"
     );
-    let mut told = String::new();
+    let mut messages = String::new();
     for (from, to) in [
         ("peer: \"127.0.0.1:2\"", ""),
         ("127.0.0.1:2", "127.0.0.1:1"),
@@ -176,29 +177,29 @@
         ("lease_ms: 3000", "lease_ms: 10"),
         ("lease_ms: 3000", "lease_ms: 3000 drift: 0.9"),
     ] {
-        told += &settings("h.txtpb", &good.replacen(from, to, 1))
-            .map_or_else(|e| format!("{e}\n"), |_| "taken\n".into());
+        messages += &settings("h.txtpb", &valid_settings.replacen(from, to, 1))
+            .map_or_else(|e| format!("{e}\n"), |_| "accepted\n".into());
     }
     expect![[r#"
-        h.txtpb:16: talk.peer: names 1 of 2 directors
-        h.txtpb:16: talk.peer[1]: "127.0.0.1:1" is there twice
-        h.txtpb:16: talk.peer[1]: "two" is no address and port, as 127.0.0.1:7000
-        h.txtpb:16: talk.secret: has 4 characters; 16 at least are wanted
-        h.txtpb:16: talk.lease_ms: is 10; 500 to 86400000 is wanted
-        h.txtpb:16: talk.drift: is 0.9; 0 to 0.5 is wanted
+        h.txtpb:16: talk.peer: has 1 entries for 2 directors
+        h.txtpb:16: talk.peer[1]: "127.0.0.1:1" is listed twice
+        h.txtpb:16: talk.peer[1]: "two" is not an address and port such as 127.0.0.1:7000
+        h.txtpb:16: talk.secret: has 4 characters; at least 16 are required
+        h.txtpb:16: talk.lease_ms: is 10; expected 500 to 86400000
+        h.txtpb:16: talk.drift: is 0.9; expected 0 to 0.5
     "#]]
-    .assert_eq(&told);
+    .assert_eq(&messages);
 }
 
 #[test]
-fn what_directors_share_is_checked_by_line_and_field() {
+fn sharing_errors_name_line_and_field() {
     let talk = "talk { peer: \"127.0.0.1:1\" peer: \"127.0.0.1:2\" secret: \"0123456789abcdef\" lease_ms: 3000\n\
                 peer_zone: \"a\" peer_zone: \"b\"\n\
                 share { repeats { at_node: 10 span_ms: 2000 kept: 1 } } }\n";
-    let good = GOOD.replace("front {", &format!("{talk}front {{"));
-    let read = settings("h.txtpb", &good)
-        .map(|read| read.talk.and_then(|talk| Some((talk.zones, talk.council, talk.share?))));
-    let mut told = format!("{read:?}\n");
+    let valid_settings = VALID_SETTINGS.replace("front {", &format!("{talk}front {{"));
+    let parsed = settings("h.txtpb", &valid_settings)
+        .map(|settings| settings.talk.and_then(|talk| Some((talk.zones, talk.council, talk.share?))));
+    let mut messages = format!("{parsed:?}\n");
     for (from, to) in [
         ("peer_zone: \"b\"", ""),
         ("peer_zone: \"b\"", "peer_zone: \"x\""),
@@ -211,34 +212,34 @@
         ("kept: 1", "kept: 6"),
         ("kept: 1", "kept: one"),
     ] {
-        told += &settings("h.txtpb", &good.replacen(from, to, 1))
-            .map_or_else(|e| format!("{e}\n"), |_| "taken\n".into());
+        messages += &settings("h.txtpb", &valid_settings.replacen(from, to, 1))
+            .map_or_else(|e| format!("{e}\n"), |_| "accepted\n".into());
     }
     expect![[r#"
         Ok(Some(([0, 1], 9, Share { fade: 10s, gossip: 200ms, bytes_per_s: 65536.0, repeats: Some(Repeats { at_node: 10, kept: 1, span: Span(2000000) }), view: None })))
-        h.txtpb:17: talk.peer_zone: names 1 of 2 directors
-        h.txtpb:17: talk.peer_zone[1]: names "x"; there is a, b
-        h.txtpb:16: talk.council: is 0; 1 to 99 is wanted
-        h.txtpb:18: talk.share.fade_ms: is 10; 1000 to 600000 is wanted
-        h.txtpb:18: talk.share.gossip_ms: is 1; 20 to 60000 is wanted
-        h.txtpb:18: talk.share.bytes_per_s: is 10; 4096 to 1000000000 is wanted
-        h.txtpb:18: talk.share.repeats.at_node: is 0; 1 to 10000 is wanted
-        h.txtpb:18: talk.share.repeats.span_ms: is 1; 100 to 86400000 is wanted
-        h.txtpb:18: talk.share.repeats.kept: 6 for each of 2 directors is more than at_node, 10
+        h.txtpb:17: talk.peer_zone: has 1 entries for 2 directors
+        h.txtpb:17: talk.peer_zone[1]: is "x"; expected one of: a, b
+        h.txtpb:16: talk.council: is 0; expected 1 to 99
+        h.txtpb:18: talk.share.fade_ms: is 10; expected 1000 to 600000
+        h.txtpb:18: talk.share.gossip_ms: is 1; expected 20 to 60000
+        h.txtpb:18: talk.share.bytes_per_s: is 10; expected 4096 to 1000000000
+        h.txtpb:18: talk.share.repeats.at_node: is 0; expected 1 to 10000
+        h.txtpb:18: talk.share.repeats.span_ms: is 1; expected 100 to 86400000
+        h.txtpb:18: talk.share.repeats.kept: 6 for each of 2 directors exceeds at_node, which is 10
         h.txtpb:18: expected an integer, but found 'one'
-    "#]].assert_eq(&told);
+    "#]].assert_eq(&messages);
 }
 
 #[test]
-fn a_box_list_reads_back_as_written_and_errors_name_the_field() {
-    let names = settings("h.txtpb", GOOD).unwrap().names;
+fn node_lists_round_trip_and_errors_name_the_field() {
+    let names = settings("h.txtpb", VALID_SETTINGS).unwrap().names;
     let text = r#"generation: 4
 box { name: "n1" address: "127.0.0.1:9001" zone: "a" model: "small" cell: 1 weight: 2.5 started_ms: 77 }
 box { name: "n2" address: "[::1]:9002" zone: "b" model: "small" cell: 2 weight: 1 standing: DRAINING }
 "#;
     let list = boxes("b.txtpb", text, &names).unwrap();
     assert_eq!(boxes("b.txtpb", &write_boxes(&list, &names), &names).unwrap(), list);
-    let mut told = String::new();
+    let mut messages = String::new();
     for (from, to) in [
         ("generation: 4", ""),
         ("cell: 2", "cell: 3"),
@@ -248,16 +249,16 @@
         ("standing: DRAINING", "standing: AWAY"),
         ("standing: DRAINING }", ""),
     ] {
-        told += &format!("{}\n", boxes("b.txtpb", &text.replacen(from, to, 1), &names).unwrap_err());
+        messages += &format!("{}\n", boxes("b.txtpb", &text.replacen(from, to, 1), &names).unwrap_err());
     }
     expect![[r#"
-        b.txtpb:1: generation: is left out
-        b.txtpb:3: box[1].cell: is 3; 0 to 2 is wanted
-        b.txtpb:3: box[1].model: names "big"; there is small
-        b.txtpb:2: box[0].address: "node-1" is no address and port, as 127.0.0.1:8554
-        b.txtpb:3: box[1].weight: is -1; 0.000001 to 1000000000 is wanted
+        b.txtpb:1: generation: is missing
+        b.txtpb:3: box[1].cell: is 3; expected 0 to 2
+        b.txtpb:3: box[1].model: is "big"; expected one of: small
+        b.txtpb:2: box[0].address: "node-1" is not an address and port such as 127.0.0.1:8554
+        b.txtpb:3: box[1].weight: is -1; expected 0.000001 to 1000000000
         b.txtpb:3: value 'AWAY' was not found for enum 'ashglade.boxes.Standing'
         b.txtpb:4: expected '}' or a field name, but reached end of input
     "#]]
-    .assert_eq(&told);
+    .assert_eq(&messages);
 }
--- a/crates/settings/src/text.rs
+++ b/crates/settings/src/text.rs
@@ -1,30 +1,34 @@
-//! Reading protobuf text format, with the line of each field kept for the checks that follow.
+//! Parser for protobuf text format that records the line of each field, for the validation errors of its
+//! callers.
 
 use std::collections::BTreeMap;
 
 use miette::Diagnostic;
 use prost_reflect::{DescriptorPool, DynamicMessage};
 
-/// What is wrong with a file, and where.
+/// A parse or validation error, with its position.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}:{line}: {field}{}{what}", if field.is_empty() { "" } else { ": " })]
 pub struct Trouble {
+    /// Name of the file, as the caller gave it.
     pub file: String,
-    /// From 1.
+    /// Line number, starting at 1.
     pub line: usize,
-    /// Path of the field, as `group[1].utility`; empty where the text itself can't be read.
+    /// Path of the field, such as `group[1].utility`. Empty for syntax errors.
     pub field: String,
+    /// Description of the error.
     pub what: String,
 }
 
-/// A file that was read, for errors about its fields.
+/// The name of a parsed file and the line of each of its fields. Builds the errors about these fields.
 pub struct Source {
     file: String,
     lines: BTreeMap<String, usize>,
 }
 
 impl Source {
-    /// The trouble with one field; one that is left out is placed where its message begins.
+    /// Returns an error about a field. The line of a missing field is that of the closest enclosing message
+    /// in the text, or 1.
     pub fn trouble(&self, field: &str, what: impl Into<String>) -> Trouble {
         let mut path = field;
         let line = loop {
@@ -39,80 +43,98 @@
         Trouble { file: self.file.clone(), line, field: field.to_string(), what: what.into() }
     }
 
-    /// A field that must be there.
+    /// Returns the value of a required field.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the field is missing.
     pub fn need<T>(&self, field: &str, value: Option<T>) -> Result<T, Trouble> {
-        value.ok_or_else(|| self.trouble(field, "is left out"))
+        value.ok_or_else(|| self.trouble(field, "is missing"))
     }
 
-    /// A field that must be there and within bounds, both included.
+    /// Returns the value of a required field whose value must be from `from` to `to`, both inclusive.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the field is missing, out of range or not a number.
     pub fn within(&self, field: &str, value: Option<f64>, from: f64, to: f64) -> Result<f64, Trouble> {
         let value = self.need(field, value)?;
         if value >= from && value <= to {
             return Ok(value);
         }
-        Err(self.trouble(field, format!("is {value}; {from} to {to} is wanted")))
+        Err(self.trouble(field, format!("is {value}; expected {from} to {to}")))
     }
 
-    /// The place of `name` among `names`.
+    /// Returns the index of `name` in `names`.
+    ///
+    /// # Errors
+    ///
+    /// Fails if `names` doesn't contain it.
     pub fn one_of(&self, field: &str, name: &str, names: &[String]) -> Result<usize, Trouble> {
-        names
-            .iter()
-            .position(|known| known == name)
-            .ok_or_else(|| self.trouble(field, format!("names {name:?}; there is {}", list(names))))
+        names.iter().position(|known| known == name).ok_or_else(|| {
+            self.trouble(field, format!("is {name:?}; expected one of: {}", format_names(names)))
+        })
     }
 }
 
-fn list(names: &[String]) -> String {
+fn format_names(names: &[String]) -> String {
     if names.is_empty() { "none".to_string() } else { names.join(", ") }
 }
 
-/// Reads text as the message `name` of a compiled schema.
+/// Parses text as the message type `name` of an encoded descriptor set.
+///
+/// # Errors
+///
+/// Fails if the text has a syntax error or doesn't match the message type.
 pub fn read<T: prost::Message + Default>(
     schema: &[u8],
     name: &str,
     file: &str,
     text: &str,
 ) -> Result<(T, Source), Trouble> {
-    let at = |line, what: String| Trouble { file: file.to_string(), line, field: String::new(), what };
-    let pool = DescriptorPool::decode(schema).map_err(|e| at(1, format!("the schema: {e}")))?;
-    let message = pool.get_message_by_name(name).ok_or_else(|| at(1, format!("no schema named {name}")))?;
-    let parsed = DynamicMessage::parse_text_format(message, text).map_err(|error| {
-        let offset = error.labels().and_then(|mut labels| labels.next()).map_or(text.len(), |l| l.offset());
+    let error_at = |line, what: String| Trouble { file: file.to_string(), line, field: String::new(), what };
+    let pool = DescriptorPool::decode(schema).map_err(|e| error_at(1, format!("invalid schema: {e}")))?;
+    let descriptor = pool
+        .get_message_by_name(name)
+        .ok_or_else(|| error_at(1, format!("the schema has no message type {name}")))?;
+    let parsed = DynamicMessage::parse_text_format(descriptor, text).map_err(|error| {
+        let offset =
+            error.labels().and_then(|mut labels| labels.next()).map_or(text.len(), |label| label.offset());
         let line = 1 + text.as_bytes()[..offset.min(text.len())].iter().filter(|&&b| b == b'\n').count();
-        let detail = error.help().map(|help| format!("; {help}")).unwrap_or_default();
-        let why = std::error::Error::source(&error).map(|source| format!(": {source}")).unwrap_or_default();
-        at(line, format!("{error}{why}{detail}"))
+        let help = error.help().map(|help| format!("; {help}")).unwrap_or_default();
+        let cause = std::error::Error::source(&error).map(|source| format!(": {source}")).unwrap_or_default();
+        error_at(line, format!("{error}{cause}{help}"))
     })?;
-    let value = parsed.transcode_to::<T>().map_err(|e| at(1, e.to_string()))?;
-    Ok((value, Source { file: file.to_string(), lines: lines(text) }))
+    let value = parsed.transcode_to::<T>().map_err(|e| error_at(1, e.to_string()))?;
+    Ok((value, Source { file: file.to_string(), lines: field_lines(text) }))
 }
 
-/// The line of each field, by path: a light pass over text that has already been parsed, so it only needs to tell
-/// names, braces, strings and comments apart. A repeated field is numbered in its order.
-fn lines(text: &str) -> BTreeMap<String, usize> {
+/// Returns the line of each field by path. The text has already been parsed successfully, so this scan only
+/// distinguishes names, braces, strings and comments. The elements of a repeated field are numbered in order.
+fn field_lines(text: &str) -> BTreeMap<String, usize> {
     let mut lines = BTreeMap::new();
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
-    // Paths of the messages that are open.
-    let mut open: Vec<String> = Vec::new();
-    let mut last = String::new();
-    let (mut line, mut quote, mut comment) = (1, None, false);
+    // Paths of the enclosing messages at the current position, outermost first.
+    let mut open_messages: Vec<String> = Vec::new();
+    let mut last_field = String::new();
+    let (mut line, mut open_quote, mut in_comment) = (1, None, false);
     let mut word = String::new();
-    let mut value = false;
-    let mut skip = false;
+    let mut expects_value = false;
+    let mut escaped = false;
     for c in text.chars() {
         if c == '\n' {
-            (line, comment) = (line + 1, false);
+            (line, in_comment) = (line + 1, false);
         }
-        if comment {
+        if in_comment {
             continue;
         }
-        if let Some(mark) = quote {
-            if skip {
-                skip = false;
+        if let Some(quote) = open_quote {
+            if escaped {
+                escaped = false;
             } else if c == '\\' {
-                skip = true;
-            } else if c == mark {
-                quote = None;
+                escaped = true;
+            } else if c == quote {
+                open_quote = None;
             }
             continue;
         }
@@ -120,42 +142,43 @@
             word.push(c);
             continue;
         }
-        // A word ends. It names a field unless it stands where a value does.
+        // The end of a word, which is a field name unless it is in the position of a value.
         if !word.is_empty() {
-            if value {
-                value = false;
+            if expects_value {
+                expects_value = false;
             } else {
-                let prefix = open.last().map(|path| format!("{path}.")).unwrap_or_default();
-                let plain = format!("{prefix}{word}");
-                let count = counts.entry(plain.clone()).or_default();
-                last = format!("{plain}[{count}]");
+                let prefix = open_messages.last().map(|path| format!("{path}.")).unwrap_or_default();
+                let unindexed_path = format!("{prefix}{word}");
+                let count = counts.entry(unindexed_path.clone()).or_default();
+                last_field = format!("{unindexed_path}[{count}]");
                 *count += 1;
-                lines.entry(plain).or_insert(line);
-                lines.insert(last.clone(), line);
+                lines.entry(unindexed_path).or_insert(line);
+                lines.insert(last_field.clone(), line);
             }
             word.clear();
         }
         match c {
-            ':' => value = true,
+            ':' => expects_value = true,
             '{' | '<' => {
-                // One message of a kind is named without its number as well.
-                open.push(last.clone());
-                value = false;
+                // The path with the index; paths without indices are added at the end.
+                open_messages.push(last_field.clone());
+                expects_value = false;
             }
             '}' | '>' => {
-                open.pop();
-                value = false;
+                open_messages.pop();
+                expects_value = false;
             }
-            ',' | ';' => value = false,
-            '"' | '\'' => (quote, value) = (Some(c), false),
-            '#' => comment = true,
+            ',' | ';' => expects_value = false,
+            '"' | '\'' => (open_quote, expects_value) = (Some(c), false),
+            '#' => in_comment = true,
             _ => {}
         }
     }
-    // Paths through single messages may be written without numbers.
-    let plain: Vec<(String, usize)> = lines.iter().map(|(path, &at)| (path.replace("[0]", ""), at)).collect();
-    for (path, at) in plain {
-        lines.entry(path).or_insert(at);
+    // Paths may leave out the index of a message's first occurrence.
+    let unindexed: Vec<(String, usize)> =
+        lines.iter().map(|(path, &line)| (path.replace("[0]", ""), line)).collect();
+    for (path, line) in unindexed {
+        lines.entry(path).or_insert(line);
     }
     lines
 }
