--- a/crates/director/src/attempt.rs
+++ b/crates/director/src/attempt.rs
@@ -1,5 +1,5 @@
-//! One SETUP at a node, from the connection to the answer. How it ended is told as the socket proves it: what was
-//! not written never ran; what was written may have.
+//! One attempt to set up a session: a SETUP at a node, from the connection to the response. Its outcome follows from
+//! what the socket proves: a SETUP of which no byte was written has not run at the node; any other may have.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,158 +15,185 @@
 use rtsp_types::{StatusCode, Url};
 use tokio::task::JoinHandle;
 
-use crate::node::NodeSide;
+use crate::context::DirectorContext;
+use crate::node_session::NodeSession;
 use crate::pool::Connection;
-use crate::shared::Shared;
 
-/// How a SETUP ended, with the load that the answer told; where the node accepted it, with what the front holds of it.
-pub type Outcome<T> = Result<(T, Option<LoadReport>), (End, Option<LoadReport>)>;
+/// How an attempt ended, with the load that the node reported in its response. `T` is the session that the node has
+/// accepted, as the front (RTSP or HLS) holds it.
+pub type AttemptResult<T> = Result<(T, Option<LoadReport>), (AttemptError, Option<LoadReport>)>;
 
-/// How a SETUP came to nothing.
+/// Why an attempt set up no session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    As(AttemptOutcome),
+pub enum AttemptError {
+    /// The attempt failed with this outcome.
+    Failed(AttemptOutcome),
     /// The node doesn't hold the title.
-    Missing,
+    TitleMissing,
 }
 
-/// What the engine is told of a SETUP that has ended, and what is held if it started.
-pub fn told<T>(sess: SessionId, setup: SetupNumber, outcome: Outcome<T>) -> (Input, Option<T>) {
-    match outcome {
-        Ok((held, load)) => (Input::SetupAccepted { session: sess, setup, load }, Some(held)),
-        Err((End::As(how), load)) => (Input::SetupFailed { session: sess, setup, outcome: how, load }, None),
-        Err((End::Missing, load)) => (Input::TitleMissing { session: sess, setup, load }, None),
+/// Converts the result of an attempt to the engine's input, and the session if the node has accepted it.
+pub fn setup_input<T>(
+    session_id: SessionId,
+    setup: SetupNumber,
+    result: AttemptResult<T>,
+) -> (Input, Option<T>) {
+    match result {
+        Ok((accepted, load)) => (Input::SetupAccepted { session: session_id, setup, load }, Some(accepted)),
+        Err((AttemptError::Failed(how), load)) => {
+            (Input::SetupFailed { session: session_id, setup, outcome: how, load }, None)
+        }
+        Err((AttemptError::TitleMissing, load)) => {
+            (Input::TitleMissing { session: session_id, setup, load }, None)
+        }
     }
 }
 
-/// A SETUP that is out, by either front.
+/// An attempt in progress, by either front. Its task sends the SETUP and waits for the response.
 pub struct Attempt<T> {
     pub setup: SetupNumber,
-    task: JoinHandle<Outcome<T>>,
-    /// Set before the first byte is written.
+    task: JoinHandle<AttemptResult<T>>,
+    /// Set before the first byte of the SETUP is written.
     written: Arc<AtomicBool>,
 }
 
-/// What the task that sends a SETUP says just before it writes the first byte.
-pub struct Begins {
-    pub sess: SessionId,
+/// Marks a SETUP as written. Used by the task that sends it, just before the first byte.
+pub struct WriteMarker {
+    pub session_id: SessionId,
     pub setup: SetupNumber,
-    /// When the engine decided it.
-    decided: Instant,
+    /// When the engine decided on the SETUP.
+    decided_at: Instant,
     written: Arc<AtomicBool>,
 }
 
-impl Begins {
-    /// False if it must not be written any longer: a director that stood still since it decided may have decided it by
-    /// rights that are another's by now. Only where directors share any.
-    pub async fn writing(&self, shared: &Shared) -> bool {
-        let within = ashglade_peer_transport::max_send_delay(&shared.settings);
-        if shared.settings.talk.is_some() && shared.clock.now() - self.decided > within {
+impl WriteMarker {
+    /// Marks the SETUP as written and reports that to the engine. Returns false if it must not be written any longer:
+    /// a director that was paused since the decision may have used leases that have expired and that another director
+    /// holds by now. Applies only where directors share resources.
+    pub async fn mark_written(&self, context: &DirectorContext) -> bool {
+        let max_delay = ashglade_peer_transport::max_send_delay(&context.settings);
+        if context.settings.talk.is_some() && context.clock.now() - self.decided_at > max_delay {
             return false;
         }
         self.written.store(true, Ordering::SeqCst);
-        shared.core.tell(Input::SetupWritten { session: self.sess, setup: self.setup }).await;
+        context.engine.submit(Input::SetupWritten { session: self.session_id, setup: self.setup }).await;
         true
     }
 }
 
 impl<T: Send + 'static> Attempt<T> {
+    /// Starts the task that sends the SETUP.
     pub fn start<F>(
-        sess: SessionId,
+        session_id: SessionId,
         setup: SetupNumber,
-        decided: Instant,
-        send: impl FnOnce(Begins) -> F,
+        decided_at: Instant,
+        send: impl FnOnce(WriteMarker) -> F,
     ) -> Attempt<T>
     where
-        F: Future<Output = Outcome<T>> + Send + 'static,
+        F: Future<Output = AttemptResult<T>> + Send + 'static,
     {
         let written = Arc::new(AtomicBool::new(false));
-        let task = tokio::spawn(send(Begins { sess, setup, decided, written: written.clone() }));
+        let task =
+            tokio::spawn(send(WriteMarker { session_id, setup, decided_at, written: written.clone() }));
         Attempt { setup, task, written }
     }
 
+    /// Whether a byte of the SETUP may have been written.
     pub fn written(&self) -> bool {
         self.written.load(Ordering::SeqCst)
     }
 
-    /// Waits for the end; may be dropped and called again.
-    pub async fn ended(&mut self) -> Outcome<T> {
-        (&mut self.task).await.unwrap_or(Err((End::As(AttemptOutcome::Lost), None)))
+    /// Waits for the result. Cancellation safe: the future may be dropped and the method called again.
+    pub async fn wait(&mut self) -> AttemptResult<T> {
+        (&mut self.task).await.unwrap_or(Err((AttemptError::Failed(AttemptOutcome::Lost), None)))
     }
 
-    /// Gives the SETUP up, by closing its connection, unless it has just ended by itself.
-    pub async fn withdraw(self) -> Outcome<T> {
+    /// Cancels the attempt by closing its connection, and returns its result. An attempt that has already ended keeps
+    /// its own result.
+    pub async fn cancel(self) -> AttemptResult<T> {
         self.task.abort();
         match self.task.await {
-            Ok(outcome) => outcome,
-            Err(_) if self.written.load(Ordering::SeqCst) => Err((End::As(AttemptOutcome::Cancelled), None)),
-            Err(_) => Err((End::As(AttemptOutcome::Unsent), None)),
+            Ok(result) => result,
+            Err(_) if self.written.load(Ordering::SeqCst) => {
+                Err((AttemptError::Failed(AttemptOutcome::Cancelled), None))
+            }
+            Err(_) => Err((AttemptError::Failed(AttemptOutcome::Unsent), None)),
         }
     }
 }
 
-/// What is to be set up where, by RTSP.
-pub struct Wanted {
+/// Where and what to set up by RTSP.
+pub struct SetupTarget {
     pub node: NodeId,
     pub address: SocketAddr,
     pub url: Url,
-    /// The track that the viewer begins with.
+    /// The track that the viewer sets up first.
     pub track: u8,
 }
 
-/// Sends a SETUP by RTSP.
-pub async fn send(shared: Arc<Shared>, wanted: Wanted, begins: Begins) -> Outcome<Box<NodeSide>> {
-    let Wanted { node, address, url, track } = wanted;
-    let connection = shared.pool.connect(address, shared.settings.front.connect_timeout).await;
-    let connection = connection.map_err(|_| (End::As(AttemptOutcome::Unreachable), None))?;
+/// Sends a SETUP by RTSP and waits for the response.
+pub async fn send(
+    context: Arc<DirectorContext>,
+    target: SetupTarget,
+    marker: WriteMarker,
+) -> AttemptResult<Box<NodeSession>> {
+    let SetupTarget { node, address, url, track } = target;
+    let connection = context.pool.connect(address, context.settings.front.connect_timeout).await;
+    let connection = connection.map_err(|_| (AttemptError::Failed(AttemptOutcome::Unreachable), None))?;
     let mut client = Client::new(url);
-    let request = client.setup(track, shared.clock.micros());
-    if !begins.writing(&shared).await {
-        shared.pool.put(address, connection);
-        return Err((End::As(AttemptOutcome::Unsent), None));
+    let request = client.setup(track, context.clock.micros());
+    if !marker.mark_written(&context).await {
+        context.pool.put(address, connection);
+        return Err((AttemptError::Failed(AttemptOutcome::Unsent), None));
     }
-    let lost = |_| (End::As(AttemptOutcome::Lost), None);
-    let mut out = Unanswered(Some(connection));
-    out.connection()?.send(Packet::Request(request)).await.map_err(lost)?;
+    let lost = |_| (AttemptError::Failed(AttemptOutcome::Lost), None);
+    let mut pending = PendingConnection(Some(connection));
+    pending.connection()?.send(Packet::Request(request)).await.map_err(lost)?;
     loop {
-        let packet =
-            out.connection()?.next().await.ok_or((End::As(AttemptOutcome::Lost), None))?.map_err(lost)?;
+        let packet = pending
+            .connection()?
+            .next()
+            .await
+            .ok_or((AttemptError::Failed(AttemptOutcome::Lost), None))?
+            .map_err(lost)?;
         let Packet::Response(response) = packet else { continue };
-        let load = load(&response);
+        let load = load_report(&response);
         match client.answered(&response) {
             Answer::Done(_) => {
-                let side = NodeSide::hold(&shared, (node, address), out.answered()?, client).await;
-                return Ok((Box::new(side), load));
+                let node_session = NodeSession::new(&context, (node, address), pending.take()?, client).await;
+                return Ok((Box::new(node_session), load));
             }
             Answer::Refused(_, StatusCode::NotEnoughBandwidth | StatusCode::ServiceUnavailable) => {
-                shared.pool.put(address, out.answered()?);
-                return Err((End::As(AttemptOutcome::Full), load));
+                context.pool.put(address, pending.take()?);
+                return Err((AttemptError::Failed(AttemptOutcome::Full), load));
             }
             Answer::Refused(_, StatusCode::NotFound) => {
-                shared.pool.put(address, out.answered()?);
-                return Err((End::Missing, load));
+                context.pool.put(address, pending.take()?);
+                return Err((AttemptError::TitleMissing, load));
             }
-            Answer::Refused(..) => return Err((End::As(AttemptOutcome::Fault), load)),
+            Answer::Refused(..) => return Err((AttemptError::Failed(AttemptOutcome::Fault), load)),
             Answer::Stray => {}
         }
     }
 }
 
-/// A connection with a SETUP on it that has no answer. Given up, it is reset and not closed: what the other end has not
-/// taken yet is dropped. Guards against a SETUP that arrives when a cut heals, long after others were set up in its place.
-struct Unanswered(Option<Connection>);
+/// A connection with an unanswered SETUP. If dropped, it is reset rather than closed, so that data not yet received by
+/// the node is discarded. Otherwise, after a network partition, the SETUP could arrive long after the session was set
+/// up elsewhere.
+struct PendingConnection(Option<Connection>);
 
-impl Unanswered {
-    fn connection(&mut self) -> Result<&mut Connection, (End, Option<LoadReport>)> {
-        self.0.as_mut().ok_or((End::As(AttemptOutcome::Lost), None))
+impl PendingConnection {
+    fn connection(&mut self) -> Result<&mut Connection, (AttemptError, Option<LoadReport>)> {
+        self.0.as_mut().ok_or((AttemptError::Failed(AttemptOutcome::Lost), None))
     }
 
-    fn answered(&mut self) -> Result<Connection, (End, Option<LoadReport>)> {
-        self.0.take().ok_or((End::As(AttemptOutcome::Lost), None))
+    /// Takes the connection out once the response has arrived.
+    fn take(&mut self) -> Result<Connection, (AttemptError, Option<LoadReport>)> {
+        self.0.take().ok_or((AttemptError::Failed(AttemptOutcome::Lost), None))
     }
 }
 
-impl Drop for Unanswered {
+impl Drop for PendingConnection {
     fn drop(&mut self) {
         if let Some(connection) = &self.0 {
             let _ = connection.get_ref().set_zero_linger();
@@ -174,12 +201,12 @@
     }
 }
 
-/// The load that an answer tells, in the engine's words.
-pub fn load(response: &Response) -> Option<LoadReport> {
-    messages::load_of(response).map(in_our_words)
+/// Returns the load that the node reported in a response, if it did.
+pub fn load_report(response: &Response) -> Option<LoadReport> {
+    messages::load_of(response).map(to_load_report)
 }
 
-/// A load as nodes tell it, in the engine's words.
-pub fn in_our_words(told: ashglade_rtsp::load::Load) -> LoadReport {
-    LoadReport { link: told.link, uplink: told.uplink, streams: told.streams }
+/// Converts a load as reported by a node to the engine's type.
+pub fn to_load_report(load: ashglade_rtsp::load::Load) -> LoadReport {
+    LoadReport { link: load.link, uplink: load.uplink, streams: load.streams }
 }
--- a/crates/director/src/hls/fetch.rs
+++ b/crates/director/src/hls/fetch.rs
@@ -1,5 +1,5 @@
-//! What is fetched from nodes. A SETUP is a GET of the title's multivariant playlist, on a connection of its own so
-//! that it is known whether a byte of it was written; the node accepts the session with 200.
+//! HTTP requests to nodes. The SETUP of an HLS session is a GET of the title's multivariant playlist, which the node
+//! accepts with 200. It uses a connection of its own, so that it is known whether a byte of it was written.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,23 +19,25 @@
 use tokio::net::TcpStream;
 use url::Url;
 
-use crate::attempt::{Begins, End, Outcome, in_our_words};
-use crate::shared::Shared;
+use crate::attempt::{AttemptError, AttemptResult, WriteMarker, to_load_report};
+use crate::context::DirectorContext;
 
-/// A session that its node has accepted.
-pub struct Accepted {
-    /// Where the node serves HLS, and the address by which lists know it.
+/// A session that a node has accepted.
+pub struct AcceptedSession {
+    /// The node, the address at which it serves HLS, and its address in the node list.
     pub node: (NodeId, SocketAddr, SocketAddr),
-    /// Its multivariant playlist, and what that names.
-    pub master: Bytes,
+    /// The multivariant playlist as received from the node.
+    pub multivariant_playlist: Bytes,
+    /// The variants that the playlist names.
     pub variants: Vec<Variant>,
 }
 
-/// The load that an answer tells.
-pub fn load_of<B>(response: &Response<B>) -> Option<LoadReport> {
-    Some(in_our_words(load::Load::read(response.headers().get("x-load")?.to_str().ok()?)))
+/// Returns the load that the node reported in a response, if it did.
+pub fn load_report<B>(response: &Response<B>) -> Option<LoadReport> {
+    Some(to_load_report(load::Load::read(response.headers().get("x-load")?.to_str().ok()?)))
 }
 
+/// Returns a GET request for the URL, or `None` if the URL has no host or isn't valid in a request.
 fn request(url: &Url) -> Option<Request<Empty<Bytes>>> {
     let path = match url.query() {
         Some(query) => format!("{}?{query}", url.path()),
@@ -45,56 +47,66 @@
     Request::get(path).header("host", host).body(Empty::new()).ok()
 }
 
-/// Sends a SETUP by HTTP.
+/// Sends a SETUP by HTTP and waits for the response.
+///
+/// `node` is as in [`AcceptedSession::node`].
 pub async fn send(
-    shared: Arc<Shared>,
+    context: Arc<DirectorContext>,
     node: (NodeId, SocketAddr, SocketAddr),
     url: Url,
-    begins: Begins,
-) -> Outcome<Accepted> {
-    let within = shared.settings.front.connect_timeout;
-    let connected = tokio::time::timeout(within, TcpStream::connect(node.1)).await;
-    let Ok(Ok(stream)) = connected else { return Err((End::As(AttemptOutcome::Unreachable), None)) };
+    marker: WriteMarker,
+) -> AttemptResult<AcceptedSession> {
+    let timeout = context.settings.front.connect_timeout;
+    let connected = tokio::time::timeout(timeout, TcpStream::connect(node.1)).await;
+    let Ok(Ok(stream)) = connected else {
+        return Err((AttemptError::Failed(AttemptOutcome::Unreachable), None));
+    };
     let _ = stream.set_nodelay(true);
-    let request = request(&url).ok_or((End::As(AttemptOutcome::Unsent), None))?;
-    let shake = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
-    let (mut sender, connection) = shake.map_err(|_| (End::As(AttemptOutcome::Unreachable), None))?;
-    // Ends with this task: to give the SETUP up closes its connection.
+    let request = request(&url).ok_or((AttemptError::Failed(AttemptOutcome::Unsent), None))?;
+    let handshake = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
+    let (mut sender, connection) =
+        handshake.map_err(|_| (AttemptError::Failed(AttemptOutcome::Unreachable), None))?;
+    // The connection's task ends with this one, so that cancelling the SETUP closes its connection.
     let driver = tokio::spawn(connection);
     let _abort = AbortOnDrop(driver.abort_handle());
-    if !begins.writing(&shared).await {
-        return Err((End::As(AttemptOutcome::Unsent), None));
+    if !marker.mark_written(&context).await {
+        return Err((AttemptError::Failed(AttemptOutcome::Unsent), None));
     }
-    let response = sender.send_request(request).await.map_err(|_| (End::As(AttemptOutcome::Lost), None))?;
-    let load = load_of(&response);
+    let response =
+        sender.send_request(request).await.map_err(|_| (AttemptError::Failed(AttemptOutcome::Lost), None))?;
+    let load = load_report(&response);
     match response.status() {
         StatusCode::OK => {}
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
-            return Err((End::As(AttemptOutcome::Full), load));
+            return Err((AttemptError::Failed(AttemptOutcome::Full), load));
         }
-        StatusCode::NOT_FOUND => return Err((End::Missing, load)),
-        _ => return Err((End::As(AttemptOutcome::Fault), load)),
+        StatusCode::NOT_FOUND => return Err((AttemptError::TitleMissing, load)),
+        _ => return Err((AttemptError::Failed(AttemptOutcome::Fault), load)),
     }
     let body = Limited::new(response.into_body(), MOST_BYTES).collect().await;
-    let master = body.map_err(|_| (End::As(AttemptOutcome::Lost), load))?.to_bytes();
-    // One that can't be given to a player is a fault of the node's.
-    let folder = folder(&url);
+    let multivariant_playlist =
+        body.map_err(|_| (AttemptError::Failed(AttemptOutcome::Lost), load))?.to_bytes();
+    // A playlist that can't be passed to a player counts as a fault of the node.
+    let folder = title_folder(&url);
     let place = Place { url: &url, folder: &folder };
-    match playlist::master(&master, &place, f64::INFINITY, &|_, path| path.to_string()) {
-        Ok(read) => Ok((Accepted { node, master, variants: read.variants }, load)),
-        Err(trouble) => {
-            tracing::warn!(node = %node.1, %trouble, "a multivariant playlist can't be used");
-            Err((End::As(AttemptOutcome::Fault), load))
+    match playlist::master(&multivariant_playlist, &place, f64::INFINITY, &|_, path| path.to_string()) {
+        Ok(playlist) => {
+            Ok((AcceptedSession { node, multivariant_playlist, variants: playlist.variants }, load))
+        }
+        Err(error) => {
+            tracing::warn!(node = %node.1, trouble = %error, "the node's multivariant playlist is invalid");
+            Err((AttemptError::Failed(AttemptOutcome::Fault), load))
         }
     }
 }
 
-/// The title's folder in a URL of one of its playlists: its first part.
-pub fn folder(url: &Url) -> String {
+/// Returns the title's folder, which is the first segment of the path of its playlists' URLs.
+pub fn title_folder(url: &Url) -> String {
     let first = url.path().trim_start_matches('/').split('/').next().unwrap_or_default();
     format!("/{first}/")
 }
 
+/// Aborts a task when dropped.
 struct AbortOnDrop(tokio::task::AbortHandle);
 
 impl Drop for AbortOnDrop {
@@ -103,40 +115,47 @@
     }
 }
 
-/// Why something could not be fetched.
+/// Why a request to a node failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lost {
-    /// The node can't be reached, or broke off.
-    Node,
-    /// It said nothing in time.
-    Silent,
+pub enum FetchError {
+    /// The node can't be reached, or the connection broke.
+    Disconnected,
+    /// The node didn't respond within the response timeout.
+    TimedOut,
 }
 
-/// Asks a node for something of a session's that plays there; the head of its answer.
-pub async fn get(shared: &Shared, url: &Url, range: Option<HeaderValue>) -> Result<Response<Incoming>, Lost> {
-    let client = &shared.http;
-    let uri = url.as_str().parse::<hyper::Uri>().map_err(|_| Lost::Node)?;
-    let mut request = Request::get(uri).body(Empty::<Bytes>::new()).map_err(|_| Lost::Node)?;
+/// Sends a GET of a playing session to its node, and returns the response once its header has arrived.
+pub async fn get(
+    context: &DirectorContext,
+    url: &Url,
+    range: Option<HeaderValue>,
+) -> Result<Response<Incoming>, FetchError> {
+    let client = &context.http_client;
+    let uri = url.as_str().parse::<hyper::Uri>().map_err(|_| FetchError::Disconnected)?;
+    let mut request = Request::get(uri).body(Empty::<Bytes>::new()).map_err(|_| FetchError::Disconnected)?;
     if let Some(range) = range {
         request.headers_mut().insert(RANGE, range);
     }
-    let within = shared.settings.front.answer_timeout;
-    match tokio::time::timeout(within, client.request(request)).await {
+    let timeout = context.settings.front.answer_timeout;
+    match tokio::time::timeout(timeout, client.request(request)).await {
         Ok(Ok(response)) => Ok(response),
-        Ok(Err(_)) => Err(Lost::Node),
-        Err(_) => Err(Lost::Silent),
+        Ok(Err(_)) => Err(FetchError::Disconnected),
+        Err(_) => Err(FetchError::TimedOut),
     }
 }
 
-/// A playlist, whole.
-pub async fn text(shared: &Shared, url: &Url) -> Result<(StatusCode, Option<LoadReport>, Bytes), Lost> {
-    let response = get(shared, url, None).await?;
-    let (status, load) = (response.status(), load_of(&response));
-    let within = shared.settings.front.answer_timeout;
+/// Fetches a playlist. Returns its status, the node's load and its text.
+pub async fn get_playlist(
+    context: &DirectorContext,
+    url: &Url,
+) -> Result<(StatusCode, Option<LoadReport>, Bytes), FetchError> {
+    let response = get(context, url, None).await?;
+    let (status, load) = (response.status(), load_report(&response));
+    let timeout = context.settings.front.answer_timeout;
     let body = Limited::new(response.into_body(), MOST_BYTES + 1).collect();
-    match tokio::time::timeout(within, body).await {
+    match tokio::time::timeout(timeout, body).await {
         Ok(Ok(body)) => Ok((status, load, body.to_bytes())),
-        Ok(Err(_)) => Err(Lost::Node),
-        Err(_) => Err(Lost::Silent),
+        Ok(Err(_)) => Err(FetchError::Disconnected),
+        Err(_) => Err(FetchError::TimedOut),
     }
 }
--- a/crates/director/src/hls/mod.rs
+++ b/crates/director/src/hls/mod.rs
@@ -1,5 +1,5 @@
-//! The second front: players that speak HTTP. A request of a title's `index.m3u8` is a session's request; every other
-//! names its session by a token in its path. Nothing here decides.
+//! The HLS front, for players that use HTTP. A GET of a title's `index.m3u8` requests a session. Every other request
+//! names its session by a signed token in its path. Which node serves a session is decided by the engine alone.
 
 mod fetch;
 mod relay;
@@ -25,242 +25,282 @@
 use tokio::sync::{Semaphore, mpsc, oneshot};
 use tracing::{debug, warn};
 
-use crate::orders::{Command, ORDERS};
-use crate::shared::Shared;
+use crate::context::DirectorContext;
+use crate::engine_handle::{EngineMessage, SESSION_QUEUE_CAPACITY};
 
+/// Body of a response to a player.
 pub type Body = BoxBody<Bytes, hyper::Error>;
+/// Response to a player.
 pub type Reply = Response<Body>;
 
-/// A request that a session's task is to answer.
-pub struct Job {
-    pub ask: Ask,
-    /// Within the title's folder at the node, query included.
+/// A player's request, to be answered by the session's task.
+pub struct PlayerRequest {
+    /// The kind of resource requested.
+    pub resource: Ask,
+    /// Path within the title's folder at the node, including the query.
     pub path: String,
-    /// Of a part, the bytes that are wanted.
+    /// `Range` header of a request for a segment.
     pub range: Option<HeaderValue>,
+    /// Receives the response.
     pub reply: oneshot::Sender<Reply>,
 }
 
-/// Requests of one session that wait for its task at most.
-const JOBS: usize = 16;
-/// A request's head may have so many bytes.
-const MOST_HEAD: usize = 16 * 1024;
-/// A session's first playlist, under its title.
-const MASTER: &str = "index.m3u8";
+/// Number of requests of one session queued for its task.
+const MAX_QUEUED_REQUESTS: usize = 16;
+/// Maximum size of a request's header section.
+const MAX_HEADER_BYTES: usize = 16 * 1024;
+/// Name of the multivariant playlist in a title's folder.
+const MULTIVARIANT_PLAYLIST: &str = "index.m3u8";
 
-pub struct Front {
-    pub shared: Arc<Shared>,
+/// The HLS front: the director's context, the keys that sign tokens, and the sessions by identifier.
+pub struct HlsFront {
+    pub context: Arc<DirectorContext>,
     pub keys: Keys,
-    pub token_life: Duration,
-    sessions: Mutex<HashMap<SessionId, mpsc::Sender<Job>>>,
+    pub token_lifetime: Duration,
+    sessions: Mutex<HashMap<SessionId, mpsc::Sender<PlayerRequest>>>,
 }
 
-/// Serves until the listener's task is dropped.
-pub async fn run(shared: Arc<Shared>, listener: TcpListener, settings: Hls) {
+/// Accepts players' connections for as long as the director runs.
+pub async fn run(context: Arc<DirectorContext>, listener: TcpListener, settings: Hls) {
     let keys = settings.keys.iter().map(|(id, secret)| Key { id: *id, secret: secret.clone().into_bytes() });
     let Some(keys) = Keys::new(keys.collect()) else { return };
-    let front = Arc::new(Front { shared, keys, token_life: settings.token_life, sessions: Mutex::default() });
-    // Beyond the bound players wait in the kernel's queue.
-    let places = Arc::new(Semaphore::new(settings.most_connections));
+    let front =
+        Arc::new(HlsFront { context, keys, token_lifetime: settings.token_life, sessions: Mutex::default() });
+    // Beyond the connection limit, players wait in the kernel's accept queue.
+    let connection_permits = Arc::new(Semaphore::new(settings.most_connections));
     loop {
-        let Ok(place) = places.clone().acquire_owned().await else { return };
+        let Ok(permit) = connection_permits.clone().acquire_owned().await else { return };
         match listener.accept().await {
             Ok((stream, _)) => {
                 let front = front.clone();
                 tokio::spawn(async move {
-                    connection(front, stream).await;
-                    drop(place);
+                    serve_connection(front, stream).await;
+                    drop(permit);
                 });
             }
             Err(error) => {
-                warn!(%error, "a connection could not be accepted");
+                warn!(%error, "accepting a connection failed");
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         }
     }
 }
 
-async fn connection(front: Arc<Front>, stream: TcpStream) {
-    let settings = &front.shared.settings.front;
+/// Serves the requests on one player's connection.
+async fn serve_connection(front: Arc<HlsFront>, stream: TcpStream) {
+    let settings = &front.context.settings.front;
     let _ = stream.set_nodelay(true);
     let peer = stream.peer_addr().map(|peer| peer.ip().to_string()).unwrap_or_default();
     let mut stream = tokio_io_timeout::TimeoutStream::new(stream);
-    // One that takes nothing is dropped; so is one that says nothing between its requests, or is slow to say it.
+    // Closes a connection whose player doesn't read, is idle between requests for too long, or sends a request slowly.
     stream.set_write_timeout(Some(settings.write_timeout));
     stream.set_read_timeout(Some(settings.session_timeout));
-    let within = settings.write_timeout;
+    let timeout = settings.write_timeout;
     let service = hyper::service::service_fn(move |request| {
         let (front, peer) = (front.clone(), peer.clone());
-        async move { Ok::<_, Infallible>(front.answer(request, &peer).await) }
+        async move { Ok::<_, Infallible>(front.handle_request(request, &peer).await) }
     });
-    let served = hyper::server::conn::http1::Builder::new()
+    let result = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(within)
-        .max_buf_size(MOST_HEAD)
+        .header_read_timeout(timeout)
+        .max_buf_size(MAX_HEADER_BYTES)
         .serve_connection(TokioIo::new(Box::pin(stream)), service)
         .await;
-    if let Err(error) = served {
-        debug!(%error, "a player's connection is closed");
+    if let Err(error) = result {
+        debug!(%error, "a player's connection ended with an error");
     }
 }
 
-pub fn plain(status: StatusCode, text: &str) -> Reply {
-    let mut reply = Response::new(full(format!("{text}\n")));
+/// Returns a plain-text response.
+pub fn text_reply(status: StatusCode, text: &str) -> Reply {
+    let mut reply = Response::new(full_body(format!("{text}\n")));
     *reply.status_mut() = status;
     reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     reply.headers_mut().insert(CACHE_CONTROL, HeaderValue::from_static("no-store"));
     reply
 }
 
-/// A busy reply; whole seconds, as RFC 9110 has Retry-After.
-pub fn busy(text: &str, after: Option<f64>) -> Reply {
-    let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE, text);
-    if let Some(value) = after.and_then(|after| HeaderValue::from_str(&format!("{:.0}", after.ceil())).ok()) {
+/// Returns a busy reply. `Retry-After` is rounded up, as RFC 9110, 10.2.3 has whole seconds.
+pub fn busy_reply(text: &str, retry_after_seconds: Option<f64>) -> Reply {
+    let mut reply = text_reply(StatusCode::SERVICE_UNAVAILABLE, text);
+    if let Some(value) =
+        retry_after_seconds.and_then(|seconds| HeaderValue::from_str(&format!("{:.0}", seconds.ceil())).ok())
+    {
         reply.headers_mut().insert(RETRY_AFTER, value);
     }
     reply
 }
 
-pub fn playlist(text: String) -> Reply {
-    let mut reply = Response::new(full(text));
+/// Returns a playlist.
+pub fn playlist_reply(text: String) -> Reply {
+    let mut reply = Response::new(full_body(text));
     reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/vnd.apple.mpegurl"));
     reply.headers_mut().insert(CACHE_CONTROL, HeaderValue::from_static("no-store"));
     reply
 }
 
-fn full(text: String) -> Body {
+/// Returns a body of known length.
+fn full_body(text: String) -> Body {
     Full::new(Bytes::from(text)).map_err(|never| match never {}).boxed()
 }
 
-fn now() -> u64 {
+/// Returns the Unix time in seconds, by which tokens expire.
+fn unix_time() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs()
 }
 
-impl Front {
-    async fn answer(self: &Arc<Self>, request: Request<Incoming>, peer: &str) -> Reply {
+impl HlsFront {
+    /// Returns the response to a request, from the session's task unless the request is invalid.
+    async fn handle_request(self: &Arc<Self>, request: Request<Incoming>, peer: &str) -> Reply {
         if !matches!(*request.method(), Method::GET | Method::HEAD) {
-            return plain(StatusCode::METHOD_NOT_ALLOWED, "GET and HEAD are served");
+            return text_reply(StatusCode::METHOD_NOT_ALLOWED, "GET and HEAD are served");
         }
         let uri = request.uri();
         let (path, query) = (uri.path().trim_start_matches('/'), uri.query());
         let Some((title, rest)) = path.split_once('/') else {
-            return plain(StatusCode::NOT_FOUND, "no title is named");
+            return text_reply(StatusCode::NOT_FOUND, "no title is named");
         };
-        let Some(known) = self.shared.settings.titles.get(title) else {
-            return plain(StatusCode::NOT_FOUND, "there is no such title");
+        let Some(title_settings) = self.context.settings.titles.get(title) else {
+            return text_reply(StatusCode::NOT_FOUND, "there is no such title");
         };
-        let (reply, answer) = oneshot::channel();
-        if rest == MASTER {
+        let (reply, response) = oneshot::channel();
+        if rest == MULTIVARIANT_PLAYLIST {
             if *request.method() == Method::HEAD {
-                // It would set up a session that nobody plays.
-                return plain(StatusCode::METHOD_NOT_ALLOWED, "a session is asked for with GET");
+                // A HEAD request would set up a session that nobody plays.
+                return text_reply(StatusCode::METHOD_NOT_ALLOWED, "a session is asked for with GET");
             }
-            if let Err(refused) = self.begin(title, known, query, peer, reply).await {
-                return refused;
+            if let Err(rejection) = self.begin_session(title, title_settings, query, peer, reply).await {
+                return rejection;
             }
         } else {
-            let (token, job) = match self.job(TitleId(known.id), rest, &request, reply) {
-                Ok(found) => found,
-                Err(forged) => return plain(StatusCode::FORBIDDEN, &forged.to_string()),
-            };
-            let sessions = self.sessions.lock().unwrap_or_else(|broken| broken.into_inner());
+            let (token, player_request) =
+                match self.parse_request(TitleId(title_settings.id), rest, &request, reply) {
+                    Ok(found) => found,
+                    Err(error) => return text_reply(StatusCode::FORBIDDEN, &error.to_string()),
+                };
+            let sessions = self.sessions.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
             let Some(session) = sessions.get(&token.sess) else {
-                return plain(StatusCode::GONE, "the session is over, or was another director's; begin anew");
+                return text_reply(
+                    StatusCode::GONE,
+                    "the session is over, or was another director's; begin anew",
+                );
             };
-            match session.try_send(job) {
+            match session.try_send(player_request) {
                 Ok(()) => {}
                 Err(mpsc::error::TrySendError::Full(_)) => {
-                    return busy("too many requests at once", Some(1.0));
+                    return busy_reply("too many requests at once", Some(1.0));
                 }
                 Err(mpsc::error::TrySendError::Closed(_)) => {
-                    return plain(StatusCode::GONE, "the session is over");
+                    return text_reply(StatusCode::GONE, "the session is over");
                 }
             }
         }
-        answer.await.unwrap_or_else(|_| plain(StatusCode::BAD_GATEWAY, "the session ended"))
+        response.await.unwrap_or_else(|_| text_reply(StatusCode::BAD_GATEWAY, "the session ended"))
     }
 
-    /// What a path with a token asks for, if both were signed here.
-    fn job(
+    /// Parses the path of a request with a token, and verifies the signatures of the token and of the path.
+    fn parse_request(
         &self,
         title: TitleId,
         rest: &str,
         request: &Request<Incoming>,
         reply: oneshot::Sender<Reply>,
-    ) -> Result<(Token, Job), Forged> {
+    ) -> Result<(Token, PlayerRequest), Forged> {
         let mut parts = rest.splitn(3, '/');
-        let (Some(token), Some(mark), Some(path)) = (parts.next(), parts.next(), parts.next()) else {
+        let (Some(token), Some(signed_resource), Some(path)) = (parts.next(), parts.next(), parts.next())
+        else {
             return Err(Forged::Malformed);
         };
-        let token = self.keys.verify(token, title, now())?;
+        let token = self.keys.verify(token, title, unix_time())?;
         let path = request.uri().query().map_or_else(|| path.to_string(), |query| format!("{path}?{query}"));
-        let (what, signature) = mark.split_once('-').ok_or(Forged::Path)?;
-        self.keys.verify_path(token.sess, &format!("{what}/{path}"), signature)?;
-        let ask = Ask::read(what).ok_or(Forged::Path)?;
+        let (resource_text, signature) = signed_resource.split_once('-').ok_or(Forged::Path)?;
+        self.keys.verify_path(token.sess, &format!("{resource_text}/{path}"), signature)?;
+        let resource = Ask::read(resource_text).ok_or(Forged::Path)?;
         let range = request.headers().get(RANGE).cloned();
-        Ok((token, Job { ask, path, range, reply }))
+        Ok((token, PlayerRequest { resource, path, range, reply }))
     }
 
-    /// The session's own URI of a path at its node.
-    pub fn give(&self, title: &str, token: &str, sess: SessionId, ask: Ask, path: &str) -> String {
-        let signature = self.keys.sign_path(sess, &format!("{ask}/{path}"));
-        format!("/{title}/{token}/{ask}-{signature}/{path}")
+    /// Returns the URI under which the session's player requests a path at the node. The path is signed, so that a player
+    /// can request only what its playlists name.
+    pub fn signed_uri(
+        &self,
+        title: &str,
+        token: &str,
+        session_id: SessionId,
+        resource: Ask,
+        path: &str,
+    ) -> String {
+        let signature = self.keys.sign_path(session_id, &format!("{resource}/{path}"));
+        format!("/{title}/{token}/{resource}-{signature}/{path}")
     }
 
-    /// A session's request: the engine is asked, and a task of its own answers.
-    async fn begin(
+    /// Requests a session from the engine and starts the session's task, which answers the request. Returns the response
+    /// if the request is rejected here.
+    async fn begin_session(
         self: &Arc<Self>,
         title: &str,
-        known: &ashglade_settings::Title,
+        title_settings: &ashglade_settings::Title,
         query: Option<&str>,
         peer: &str,
         reply: oneshot::Sender<Reply>,
     ) -> Result<(), Reply> {
-        let settings = &self.shared.settings;
-        let element = |name: &str| {
+        let settings = &self.context.settings;
+        let query_value = |name: &str| {
             url::form_urlencoded::parse(query.unwrap_or_default().as_bytes())
                 .find(|(key, _)| key == name)
                 .map(|(_, value)| value.into_owned())
         };
-        let Some(group) = settings.group_of(element("group").as_deref(), known) else {
-            return Err(plain(StatusCode::NOT_FOUND, "there is no such service group"));
+        let Some(group) = settings.group_of(query_value("group").as_deref(), title_settings) else {
+            return Err(text_reply(StatusCode::NOT_FOUND, "there is no such service group"));
         };
-        let top = match element("top").map(|top| top.parse::<u8>()) {
+        let top_rung = match query_value("top").map(|top_rung| top_rung.parse::<u8>()) {
             None => u8::MAX,
-            Some(Ok(top)) => top,
-            Some(Err(_)) => return Err(plain(StatusCode::BAD_REQUEST, "top: a rung's number is wanted")),
+            Some(Ok(top_rung)) => top_rung,
+            Some(Err(_)) => {
+                return Err(text_reply(StatusCode::BAD_REQUEST, "top: a rung's number is wanted"));
+            }
+        };
+        let viewer_request =
+            self.context.viewer_request(title_settings, group, top_rung, query_value, || peer.to_string());
+        let session_id = self.context.new_session_id();
+        let (commands, command_receiver) = mpsc::channel(SESSION_QUEUE_CAPACITY);
+        let (requests, request_receiver) = mpsc::channel(MAX_QUEUED_REQUESTS);
+        let token = Token {
+            sess: session_id,
+            title: viewer_request.title,
+            group,
+            expires: unix_time() + self.token_lifetime.as_secs(),
         };
-        let want = self.shared.want(known, group, top, element, || peer.to_string());
-        let sess = self.shared.new_sess();
-        let (orders, receiver) = mpsc::channel(ORDERS);
-        let (jobs, waiting) = mpsc::channel(JOBS);
-        let token = Token { sess, title: want.title, group, expires: now() + self.token_life.as_secs() };
-        let session = session::Start {
+        let session = session::SessionParams {
             title: title.to_string(),
             query: query.unwrap_or_default().to_string(),
             token,
-            want,
-            orders: receiver,
-            jobs: waiting,
+            viewer_request,
+            commands: command_receiver,
+            requests: request_receiver,
             reply,
         };
-        let held = |this: &Front| this.sessions.lock().unwrap_or_else(|broken| broken.into_inner()).len();
-        if held(self) >= settings.most_sessions {
-            return Err(busy("too many sessions", settings.headend.max_retry_after.map(|s| s.as_ms() / 1e3)));
+        let session_count =
+            |front: &HlsFront| front.sessions.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).len();
+        if session_count(self) >= settings.most_sessions {
+            return Err(busy_reply(
+                "too many sessions",
+                settings.headend.max_retry_after.map(|s| s.as_ms() / 1e3),
+            ));
         }
-        self.sessions.lock().unwrap_or_else(|broken| broken.into_inner()).insert(sess, jobs);
-        self.shared
-            .core
-            .send(Command::Open {
-                input: Input::SessionRequested { session: sess, request: want },
-                sess,
-                orders,
+        self.sessions.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).insert(session_id, requests);
+        self.context
+            .engine
+            .send(EngineMessage::OpenSession {
+                input: Input::SessionRequested { session: session_id, request: viewer_request },
+                session_id,
+                commands,
             })
             .await;
         let front = self.clone();
         tokio::spawn(async move {
             session::run(front.clone(), session).await;
-            front.sessions.lock().unwrap_or_else(|broken| broken.into_inner()).remove(&sess);
+            front.sessions.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).remove(&session_id);
         });
         Ok(())
     }
--- a/crates/director/src/hls/relay.rs
+++ b/crates/director/src/hls/relay.rs
@@ -1,4 +1,5 @@
-//! A segment on its way from its node to its player, as it comes: what the player doesn't take isn't read.
+//! Relays a segment from its node to its player as a stream. Back pressure: while the player takes no data, nothing
+//! is read from the node.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -8,39 +9,42 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use tokio::sync::mpsc;
 
-/// What became of one.
+/// How the relaying of a segment ended.
 #[derive(Clone, Copy, Debug)]
-pub struct Relayed {
+pub struct RelayResult {
+    /// The variant that the segment belongs to, if it is not shared between variants.
     pub variant: Option<usize>,
     pub bytes: u64,
-    /// For so long the node was waited for; what the player took is its own affair.
-    pub waited: Duration,
-    /// The node broke off in the middle.
-    pub broken: bool,
+    /// The time spent waiting for the node. The time that the player took to read doesn't count.
+    pub node_wait: Duration,
+    /// The node ended the response before its end.
+    pub node_failed: bool,
 }
 
-pub struct Relay {
-    inner: Incoming,
-    done: Option<mpsc::Sender<Relayed>>,
-    so_far: Relayed,
-    /// Since when the node is waited for.
-    since: Option<Instant>,
+/// Response body that passes on a node's response and reports a [`RelayResult`] when it is dropped.
+pub struct RelayBody {
+    body: Incoming,
+    results: Option<mpsc::Sender<RelayResult>>,
+    progress: RelayResult,
+    /// Since when the relay waits for data from the node.
+    waiting_since: Option<Instant>,
 }
 
-impl Relay {
-    /// `asked` is when the node was asked.
+impl RelayBody {
+    /// `requested_at` is when the request was sent to the node.
     pub fn new(
-        inner: Incoming,
+        body: Incoming,
         variant: Option<usize>,
-        asked: Instant,
-        done: mpsc::Sender<Relayed>,
-    ) -> Relay {
-        let so_far = Relayed { variant, bytes: 0, waited: asked.elapsed(), broken: false };
-        Relay { inner, done: Some(done), so_far, since: None }
+        requested_at: Instant,
+        results: mpsc::Sender<RelayResult>,
+    ) -> RelayBody {
+        let progress =
+            RelayResult { variant, bytes: 0, node_wait: requested_at.elapsed(), node_failed: false };
+        RelayBody { body, results: Some(results), progress, waiting_since: None }
     }
 }
 
-impl Body for Relay {
+impl Body for RelayBody {
     type Data = Bytes;
     type Error = hyper::Error;
 
@@ -48,20 +52,20 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
-        let polled = Pin::new(&mut self.inner).poll_frame(cx);
+        let polled = Pin::new(&mut self.body).poll_frame(cx);
         match &polled {
             Poll::Pending => {
-                self.since.get_or_insert_with(Instant::now);
+                self.waiting_since.get_or_insert_with(Instant::now);
             }
             Poll::Ready(frame) => {
-                if let Some(since) = self.since.take() {
-                    self.so_far.waited += since.elapsed();
+                if let Some(waiting_since) = self.waiting_since.take() {
+                    self.progress.node_wait += waiting_since.elapsed();
                 }
                 match frame {
                     Some(Ok(frame)) => {
-                        self.so_far.bytes += frame.data_ref().map_or(0, |data| data.remaining() as u64)
+                        self.progress.bytes += frame.data_ref().map_or(0, |data| data.remaining() as u64)
                     }
-                    Some(Err(_)) => self.so_far.broken = true,
+                    Some(Err(_)) => self.progress.node_failed = true,
                     None => {}
                 }
             }
@@ -70,19 +74,19 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.inner.is_end_stream()
+        self.body.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.inner.size_hint()
+        self.body.size_hint()
     }
 }
 
-impl Drop for Relay {
+impl Drop for RelayBody {
     fn drop(&mut self) {
-        if let Some(done) = self.done.take() {
-            // There is room for as many as a session may have open.
-            let _ = done.try_send(self.so_far);
+        if let Some(results) = self.results.take() {
+            // The channel has room for as many results as a session may have segments in flight.
+            let _ = results.try_send(self.progress);
         }
     }
 }
--- a/crates/director/src/hls/session.rs
+++ b/crates/director/src/hls/session.rs
@@ -1,4 +1,5 @@
-//! The task of one HLS session: orders from the engine, requests of its player, fetches from its node.
+//! The task of one HLS session. It carries out the engine's commands and answers the player's requests with what it
+//! fetches from the session's node.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,372 +19,420 @@
 use tracing::{info, warn};
 use url::Url;
 
-use super::fetch::{self, Accepted, Lost};
-use super::relay::{Relay, Relayed};
-use super::{Front, Job, Reply, busy, plain};
-use crate::attempt::{self, Attempt, Outcome};
-use crate::orders::{self, Command, ORDERS, Order};
+use super::fetch::{self, AcceptedSession, FetchError};
+use super::relay::{RelayBody, RelayResult};
+use super::{HlsFront, PlayerRequest, Reply, busy_reply, text_reply};
+use crate::attempt::{self, Attempt, AttemptResult};
+use crate::engine_handle::{self, EngineMessage, SESSION_QUEUE_CAPACITY, SessionCommand};
 
-/// What a session begins with.
-pub struct Start {
+/// Parameters of a new session.
+pub struct SessionParams {
     pub title: String,
-    /// Of the player's first request; goes along to the node.
+    /// Query of the player's first request. It is passed on to the node.
     pub query: String,
     pub token: Token,
-    pub want: ViewerRequest,
-    pub orders: mpsc::Receiver<Order>,
-    pub jobs: mpsc::Receiver<Job>,
+    pub viewer_request: ViewerRequest,
+    pub commands: mpsc::Receiver<SessionCommand>,
+    pub requests: mpsc::Receiver<PlayerRequest>,
+    /// Receives the response to the player's first request.
     pub reply: oneshot::Sender<Reply>,
 }
 
-/// Segments of one session on their way at once, and requests that wait for the engine's answer, at most.
-const MOST_OPEN: usize = 16;
-/// Playlists kept between two reloads at most: one a variant that a player uses.
-const MOST_KEPT: usize = 8;
-/// A live playlist is kept for this part of its target duration: a player that reloads sooner breaks RFC 8216, 6.3.4,
-/// and costs the node nothing.
-const KEPT_PART: f64 = 0.45;
+/// Maximum number of segments of one session in flight, and of requests that wait for the engine's response.
+const MAX_IN_FLIGHT: usize = 16;
+/// Maximum number of playlists cached for a session. A player needs one for each variant that it uses.
+const MAX_CACHED_PLAYLISTS: usize = 8;
+/// Time for which a live playlist is cached, in target durations. Players that keep to RFC 8216, 6.3.4 don't reload
+/// sooner; the reloads of those that do cost the node nothing.
+const PLAYLIST_CACHE_TARGET_DURATIONS: f64 = 0.45;
 
-struct Live {
-    front: Arc<Front>,
+/// State of the session's task.
+struct HlsSession {
+    front: Arc<HlsFront>,
     title: String,
     query: String,
     token: Token,
-    signed: String,
-    want: ViewerRequest,
-    /// The session as the engine knows it: another than the token's once its node was lost.
-    sess: SessionId,
-    orders: mpsc::Receiver<Order>,
+    signed_token: String,
+    viewer_request: ViewerRequest,
+    /// The engine's identifier of the session. Differs from the token's once the session has lost a node and was
+    /// requested again.
+    session_id: SessionId,
+    commands: mpsc::Receiver<SessionCommand>,
     state: Session,
-    attempt: Option<Attempt<Accepted>>,
-    /// Where it is set up.
-    held: Option<Accepted>,
-    waiting: Vec<Job>,
-    kept: BTreeMap<Ask, (Instant, bool, String)>,
-    target: f64,
-    done: mpsc::Sender<Relayed>,
+    attempt: Option<Attempt<AcceptedSession>>,
+    /// The session at its node, once set up.
+    accepted: Option<AcceptedSession>,
+    /// Requests that wait for the engine's response.
+    waiting_requests: Vec<PlayerRequest>,
+    /// When each media playlist was fetched, whether it is complete, and its text.
+    playlist_cache: BTreeMap<Ask, (Instant, bool, String)>,
+    /// Target duration of the playlist fetched last.
+    target_duration_seconds: f64,
+    relay_results: mpsc::Sender<RelayResult>,
 }
 
+/// An event of the session's loop.
 enum Event {
-    Order(Option<Order>),
-    Job(Option<Job>),
-    Setup(Outcome<Accepted>),
-    Relayed(Relayed),
-    Quiet,
-    /// The player closed its connection before it was answered.
-    GaveUp,
+    Command(Option<SessionCommand>),
+    PlayerRequest(Option<PlayerRequest>),
+    SetupEnded(AttemptResult<AcceptedSession>),
+    SegmentRelayed(RelayResult),
+    /// The player has sent no request for too long.
+    IdleTimeout,
+    /// The player closed its connection before it got a response.
+    PlayerDisconnected,
 }
 
-pub async fn run(front: Arc<Front>, start: Start) {
-    let now = front.shared.clock.now();
-    let signed = front.keys.sign(&start.token);
-    let (done, mut relayed) = mpsc::channel(MOST_OPEN);
-    let mut jobs = start.jobs;
-    let first = Job { ask: Ask::Master, path: String::new(), range: None, reply: start.reply };
-    let mut live = Live {
+/// Runs a session until it ends.
+pub async fn run(front: Arc<HlsFront>, params: SessionParams) {
+    let now = front.context.clock.now();
+    let signed_token = front.keys.sign(&params.token);
+    let (relay_results, mut relayed) = mpsc::channel(MAX_IN_FLIGHT);
+    let mut requests = params.requests;
+    let first_request =
+        PlayerRequest { resource: Ask::Master, path: String::new(), range: None, reply: params.reply };
+    let mut session = HlsSession {
         front,
-        title: start.title,
-        query: start.query,
-        token: start.token,
-        signed,
-        want: start.want,
-        sess: start.token.sess,
-        orders: start.orders,
+        title: params.title,
+        query: params.query,
+        token: params.token,
+        signed_token,
+        viewer_request: params.viewer_request,
+        session_id: params.token.sess,
+        commands: params.commands,
         state: Session::new(now),
         attempt: None,
-        held: None,
-        waiting: vec![first],
-        kept: BTreeMap::new(),
-        target: 0.0,
-        done,
+        accepted: None,
+        waiting_requests: vec![first_request],
+        playlist_cache: BTreeMap::new(),
+        target_duration_seconds: 0.0,
+        relay_results,
     };
-    while !live.state.is_over() {
-        let event = live.event(&mut jobs, &mut relayed).await;
-        live.handle(event).await;
+    while !session.state.is_over() {
+        let event = session.next_event(&mut requests, &mut relayed).await;
+        session.handle_event(event).await;
     }
-    live.end().await;
-    // Those that are still on their way here are told.
-    jobs.close();
-    while let Ok(job) = jobs.try_recv() {
-        let _ = job.reply.send(plain(StatusCode::GONE, "the session is over"));
+    session.end().await;
+    // Answers the requests that are still queued.
+    requests.close();
+    while let Ok(request) = requests.try_recv() {
+        let _ = request.reply.send(text_reply(StatusCode::GONE, "the session is over"));
     }
 }
 
-impl Live {
-    async fn event(
+impl HlsSession {
+    /// Waits for the next event. Commands of the engine come before all others.
+    async fn next_event(
         &mut self,
-        jobs: &mut mpsc::Receiver<Job>,
-        relayed: &mut mpsc::Receiver<Relayed>,
+        requests: &mut mpsc::Receiver<PlayerRequest>,
+        relayed: &mut mpsc::Receiver<RelayResult>,
     ) -> Event {
-        let now = self.front.shared.clock.now();
-        let quiet =
+        let now = self.front.context.clock.now();
+        let idle_timeout =
             self.state.quiet_at().map(|at| Duration::from_secs_f64(((at - now).as_ms() / 1e3).max(0.0)));
-        let quiet = async {
-            match quiet {
+        let idle_timeout = async {
+            match idle_timeout {
                 Some(after) => tokio::time::sleep(after).await,
                 None => std::future::pending().await,
             }
         };
         let attempt = async {
             match &mut self.attempt {
-                Some(attempt) => attempt.ended().await,
+                Some(attempt) => attempt.wait().await,
                 None => std::future::pending().await,
             }
         };
-        // While a session is asked for, its player's connection is watched.
-        let gave_up = async {
-            match self.waiting.first_mut() {
-                Some(job) => job.reply.closed().await,
+        // Until the session plays, the connection of the request that waits longest is watched.
+        let player_disconnected = async {
+            match self.waiting_requests.first_mut() {
+                Some(request) => request.reply.closed().await,
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
             biased;
-            order = self.orders.recv() => Event::Order(order),
-            outcome = attempt => Event::Setup(outcome),
-            Some(relayed) = relayed.recv() => Event::Relayed(relayed),
-            () = gave_up => Event::GaveUp,
-            job = jobs.recv() => Event::Job(job),
-            () = quiet => Event::Quiet,
+            command = self.commands.recv() => Event::Command(command),
+            result = attempt => Event::SetupEnded(result),
+            Some(relayed) = relayed.recv() => Event::SegmentRelayed(relayed),
+            () = player_disconnected => Event::PlayerDisconnected,
+            request = requests.recv() => Event::PlayerRequest(request),
+            () = idle_timeout => Event::IdleTimeout,
         }
     }
 
-    async fn handle(&mut self, event: Event) {
+    async fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Order(Some(order)) => self.order(order).await,
-            // The engine's task is gone: so is the director.
-            Event::Order(None) | Event::Job(None) => self.state.over(),
-            Event::Setup(outcome) => {
+            Event::Command(Some(command)) => self.handle_command(command).await,
+            // The engine's task or the front has ended: the director stops.
+            Event::Command(None) | Event::PlayerRequest(None) => self.state.over(),
+            Event::SetupEnded(result) => {
                 if let Some(attempt) = self.attempt.take() {
-                    self.tell(attempt.setup, outcome).await;
+                    self.report_setup_result(attempt.setup, result).await;
                 }
             }
-            Event::Relayed(relayed) => self.relayed(relayed).await,
-            Event::GaveUp => {
-                self.waiting.remove(0);
-                // A session that plays goes on without the answer to one request.
-                if self.waiting.is_empty() && self.held.is_none() {
+            Event::SegmentRelayed(relayed) => self.handle_relay_result(relayed).await,
+            Event::PlayerDisconnected => {
+                self.waiting_requests.remove(0);
+                // A session that is set up outlives the player's connection.
+                if self.waiting_requests.is_empty() && self.accepted.is_none() {
                     self.state.over();
                 }
             }
-            Event::Job(Some(job)) => self.job(job).await,
-            Event::Quiet => {
-                info!(sess = self.sess.0, title = self.title, "quiet");
+            Event::PlayerRequest(Some(request)) => self.handle_request(request).await,
+            Event::IdleTimeout => {
+                info!(
+                    sess = self.session_id.0,
+                    title = self.title,
+                    "session ended: no request from the player"
+                );
                 self.state.over();
             }
         }
     }
 
-    fn rate(&self, rung: Rung) -> f64 {
-        let headend = &self.front.shared.settings.headend;
-        let scale = headend.groups.get(self.want.group.0).map_or(1.0, |group| group.rate_scale);
-        headend.ladder.get(usize::from(rung.0)).map_or(0.0, |&(kb, _)| kb * scale)
+    /// Returns the rate of a rung for the session's service group, in kB/s.
+    fn rung_rate(&self, rung: Rung) -> f64 {
+        let headend = &self.front.context.settings.headend;
+        let rate_scale =
+            headend.groups.get(self.viewer_request.group.0).map_or(1.0, |group| group.rate_scale);
+        headend.ladder.get(usize::from(rung.0)).map_or(0.0, |&(kb, _)| kb * rate_scale)
     }
 
-    async fn order(&mut self, order: Order) {
-        let shared = self.front.shared.clone();
-        match order {
-            Order::Setup { setup, node, http, address, rung, decided } => {
-                let url = http.and_then(|http| self.master_url(http, rung));
-                match (http, url) {
-                    (Some(http), Some(url)) => {
-                        let send = |begins| fetch::send(shared, (node, http, address), url, begins);
-                        self.attempt = Some(Attempt::start(self.sess, setup, decided, send));
+    /// Carries out a command of the engine.
+    async fn handle_command(&mut self, command: SessionCommand) {
+        let context = self.front.context.clone();
+        match command {
+            SessionCommand::SendSetup { setup, node, http_address, address, rung, decided_at } => {
+                let node_url = http_address.and_then(|address| self.multivariant_playlist_url(address, rung));
+                match (http_address, node_url) {
+                    (Some(http_address), Some(node_url)) => {
+                        let send =
+                            |marker| fetch::send(context, (node, http_address, address), node_url, marker);
+                        self.attempt = Some(Attempt::start(self.session_id, setup, decided_at, send));
                     }
                     _ => {
                         let input = Input::SetupFailed {
-                            session: self.sess,
+                            session: self.session_id,
                             setup,
                             outcome: AttemptOutcome::Unsent,
                             load: None,
                         };
-                        shared.core.tell(input).await;
+                        context.engine.submit(input).await;
                     }
                 }
             }
-            Order::Withdraw { setup, if_unsent } => {
+            SessionCommand::CancelSetup { setup, if_unsent } => {
                 let matches = |a: &mut Attempt<_>| a.setup == setup && !(if_unsent && a.written());
                 if let Some(attempt) = self.attempt.take_if(matches) {
-                    let outcome = attempt.withdraw().await;
-                    self.tell(setup, outcome).await;
+                    let result = attempt.cancel().await;
+                    self.report_setup_result(setup, result).await;
                 }
             }
-            Order::Answer(SessionResponse::Plays { rung }) => self.plays(rung).await,
-            Order::Answer(SessionResponse::Busy { retry_after, why }) => {
+            SessionCommand::Respond(SessionResponse::Plays { rung }) => self.start_playing(rung).await,
+            SessionCommand::Respond(SessionResponse::Busy { retry_after, why }) => {
                 let after = retry_after.map(|after| after.as_ms() / 1e3);
-                info!(sess = self.sess.0, title = self.title, ?why, retry_after_s = after, "busy reply");
-                self.refuse(|| busy("there is no room just now", after));
+                info!(
+                    sess = self.session_id.0,
+                    title = self.title,
+                    ?why,
+                    retry_after_s = after,
+                    "busy reply"
+                );
+                self.reject(|| busy_reply("there is no room just now", after));
             }
-            Order::Answer(SessionResponse::TornDown) => {
-                info!(sess = self.sess.0, "torn down");
-                self.refuse(|| plain(StatusCode::BAD_GATEWAY, "no node could be asked in time"));
+            SessionCommand::Respond(SessionResponse::TornDown) => {
+                info!(sess = self.session_id.0, "request failed: a SETUP may have run at a node");
+                self.reject(|| text_reply(StatusCode::BAD_GATEWAY, "no node could be asked in time"));
             }
-            Order::Rung(rung) => {
-                let now = shared.clock.now();
-                self.state.rung(self.rate(rung), now);
-                self.kept.clear();
+            SessionCommand::ChangeRung(rung) => {
+                let now = context.clock.now();
+                self.state.rung(self.rung_rate(rung), now);
+                self.playlist_cache.clear();
             }
-            // Whatever the node held ends by its own quiet: HTTP has no word for it.
-            Order::Release => self.held = None,
+            // HTTP has no TEARDOWN: the node ends its session by its own idle timeout.
+            SessionCommand::ReleaseSession => self.accepted = None,
         }
     }
 
-    fn refuse(&mut self, reply: impl Fn() -> Reply) {
-        for job in self.waiting.drain(..) {
-            let _ = job.reply.send(reply());
+    /// Sends the same response to all waiting requests, and ends the session.
+    fn reject(&mut self, reply: impl Fn() -> Reply) {
+        for request in self.waiting_requests.drain(..) {
+            let _ = request.reply.send(reply());
         }
         self.state.over();
     }
 
-    async fn plays(&mut self, rung: Rung) {
-        let now = self.front.shared.clock.now();
-        info!(sess = self.sess.0, title = self.title, rung = rung.0, "plays by HLS");
-        self.state.plays(self.rate(rung), now);
-        let Some(held) = &mut self.held else { return self.state.over() };
-        // A player whose URIs would mean something else begins anew.
-        if !self.state.has(std::mem::take(&mut held.variants)) {
-            return self.refuse(|| plain(StatusCode::GONE, "the title has changed; begin anew"));
+    /// Starts serving the session at a rung, beginning with the waiting requests.
+    async fn start_playing(&mut self, rung: Rung) {
+        let now = self.front.context.clock.now();
+        info!(sess = self.session_id.0, title = self.title, rung = rung.0, "HLS session playing");
+        self.state.plays(self.rung_rate(rung), now);
+        let Some(accepted) = &mut self.accepted else { return self.state.over() };
+        // The new node's variants differ, so the player's URIs would refer to other variants: it has to start over.
+        if !self.state.has(std::mem::take(&mut accepted.variants)) {
+            return self.reject(|| text_reply(StatusCode::GONE, "the title has changed; begin anew"));
         }
-        for job in std::mem::take(&mut self.waiting) {
-            Box::pin(self.job(job)).await;
+        for request in std::mem::take(&mut self.waiting_requests) {
+            Box::pin(self.handle_request(request)).await;
         }
     }
 
-    async fn tell(&mut self, setup: SetupNumber, outcome: Outcome<Accepted>) {
-        let (input, held) = attempt::told(self.sess, setup, outcome);
-        self.held = held.or(self.held.take());
-        self.front.shared.core.tell(input).await;
+    /// Reports the result of an attempt to the engine.
+    async fn report_setup_result(&mut self, setup: SetupNumber, result: AttemptResult<AcceptedSession>) {
+        let (input, accepted) = attempt::setup_input(self.session_id, setup, result);
+        self.accepted = accepted.or(self.accepted.take());
+        self.front.context.engine.submit(input).await;
     }
 
-    fn master_url(&self, node: SocketAddr, rung: Rung) -> Option<Url> {
-        let mut url = Url::parse(&format!("http://{node}/{}/{}", self.title, super::MASTER)).ok()?;
-        let asked = url::form_urlencoded::parse(self.query.as_bytes());
-        url.query_pairs_mut()
-            .extend_pairs(asked.filter(|(key, _)| key != "rung"))
+    /// Returns the URL of the multivariant playlist at a node: the player's query with the rung.
+    fn multivariant_playlist_url(&self, node: SocketAddr, rung: Rung) -> Option<Url> {
+        let mut node_url =
+            Url::parse(&format!("http://{node}/{}/{}", self.title, super::MULTIVARIANT_PLAYLIST)).ok()?;
+        let requested = url::form_urlencoded::parse(self.query.as_bytes());
+        node_url
+            .query_pairs_mut()
+            .extend_pairs(requested.filter(|(key, _)| key != "rung"))
             .append_pair("rung", &rung.0.to_string());
-        Some(url)
+        Some(node_url)
     }
 
-    fn url(&self, path: &str) -> Option<Url> {
-        Url::parse(&format!("http://{}/{}/{path}", self.held.as_ref()?.node.1, self.title)).ok()
+    /// Returns the URL of a path within the title's folder at the session's node.
+    fn node_url(&self, path: &str) -> Option<Url> {
+        Url::parse(&format!("http://{}/{}/{path}", self.accepted.as_ref()?.node.1, self.title)).ok()
     }
 
-    async fn job(&mut self, job: Job) {
-        let now = self.front.shared.clock.now();
-        match self.state.asked(job.ask, now) {
-            Step::Gone(_) => drop(job.reply.send(plain(StatusCode::GONE, "the session is over"))),
+    /// Answers a request, or queues it until the engine has responded.
+    async fn handle_request(&mut self, request: PlayerRequest) {
+        let now = self.front.context.clock.now();
+        match self.state.asked(request.resource, now) {
+            Step::Gone(_) => drop(request.reply.send(text_reply(StatusCode::GONE, "the session is over"))),
             Step::Withdrawn => {
                 let reply =
-                    plain(StatusCode::NOT_FOUND, "this variant was withdrawn; load its playlist again");
-                let _ = job.reply.send(reply);
+                    text_reply(StatusCode::NOT_FOUND, "this variant was withdrawn; load its playlist again");
+                let _ = request.reply.send(reply);
             }
-            Step::Wait if self.waiting.len() >= MOST_OPEN => {
-                let _ = job.reply.send(busy("too many requests wait", Some(1.0)));
+            Step::Wait if self.waiting_requests.len() >= MAX_IN_FLIGHT => {
+                let _ = request.reply.send(busy_reply("too many requests wait", Some(1.0)));
             }
             Step::Wait => {
-                self.waiting.push(job);
+                self.waiting_requests.push(request);
                 if self.state.seeks() {
-                    self.seek().await;
+                    self.request_new_node().await;
                 }
             }
-            Step::Fetch(variant) => match job.ask {
-                Ask::Master => self.master(job),
-                Ask::Media(_) => self.media(job, variant).await,
-                Ask::Part(_) => self.part(job, variant),
+            Step::Fetch(variant) => match request.resource {
+                Ask::Master => self.send_multivariant_playlist(request),
+                Ask::Media(_) => self.send_media_playlist(request, variant).await,
+                Ask::Part(_) => self.relay_segment(request, variant),
             },
         }
     }
 
-    /// Its node was lost: a new request of the same player, for a node that has the title.
-    async fn seek(&mut self) {
-        let shared = self.front.shared.clone();
-        self.sess = shared.new_sess();
-        let (sender, orders) = mpsc::channel(ORDERS);
-        self.orders = orders;
-        let input = Input::SessionRequested { session: self.sess, request: self.want };
-        shared.core.send(Command::Open { input, sess: self.sess, orders: sender }).await;
+    /// Requests the session again from the engine, under a new identifier, as its node is lost.
+    async fn request_new_node(&mut self) {
+        let context = self.front.context.clone();
+        self.session_id = context.new_session_id();
+        let (sender, commands) = mpsc::channel(SESSION_QUEUE_CAPACITY);
+        self.commands = commands;
+        let input = Input::SessionRequested { session: self.session_id, request: self.viewer_request };
+        context
+            .engine
+            .send(EngineMessage::OpenSession { input, session_id: self.session_id, commands: sender })
+            .await;
     }
 
-    fn master(&mut self, job: Job) {
-        let Some(held) = &self.held else { return };
-        let Some(url) = self.master_url(held.node.1, Rung(0)) else { return };
-        let folder = fetch::folder(&url);
-        let place = Place { url: &url, folder: &folder };
-        let give =
-            |ask: Ask, path: &str| self.front.give(&self.title, &self.signed, self.token.sess, ask, path);
-        let reply = match playlist::master(&held.master, &place, self.state.most(), &give) {
-            Ok(master) => super::playlist(master.text),
-            Err(_) => plain(StatusCode::BAD_GATEWAY, "the node's playlist can't be used"),
+    /// Answers a request with the node's multivariant playlist, limited to the session's rung.
+    fn send_multivariant_playlist(&mut self, request: PlayerRequest) {
+        let Some(accepted) = &self.accepted else { return };
+        let Some(node_url) = self.multivariant_playlist_url(accepted.node.1, Rung(0)) else { return };
+        let folder = fetch::title_folder(&node_url);
+        let place = Place { url: &node_url, folder: &folder };
+        let sign = |resource: Ask, path: &str| {
+            self.front.signed_uri(&self.title, &self.signed_token, self.token.sess, resource, path)
         };
-        let _ = job.reply.send(reply);
+        let reply = match playlist::master(&accepted.multivariant_playlist, &place, self.state.most(), &sign)
+        {
+            Ok(master) => super::playlist_reply(master.text),
+            Err(_) => text_reply(StatusCode::BAD_GATEWAY, "the node's playlist can't be used"),
+        };
+        let _ = request.reply.send(reply);
     }
 
-    async fn media(&mut self, job: Job, variant: Option<usize>) {
-        let shared = self.front.shared.clone();
-        let now = shared.clock.now();
-        let ask = if variant.is_some() { Ask::Media(variant) } else { job.ask };
-        // What variants share is known by its path alone.
-        let keep = variant.is_some();
-        if let Some((at, ended, text)) = self.kept.get(&ask).filter(|_| keep)
-            && (*ended || (now - *at).as_ms() / 1e3 < self.target * KEPT_PART)
+    /// Answers a request with a media playlist, from the cache or from the node.
+    async fn send_media_playlist(&mut self, request: PlayerRequest, variant: Option<usize>) {
+        let context = self.front.context.clone();
+        let now = context.clock.now();
+        let resource = if variant.is_some() { Ask::Media(variant) } else { request.resource };
+        // Playlists shared by the variants have no number and differ by path only, so they aren't cached.
+        let cacheable = variant.is_some();
+        if let Some((fetched_at, ended, text)) = self.playlist_cache.get(&resource).filter(|_| cacheable)
+            && (*ended
+                || (now - *fetched_at).as_ms() / 1e3
+                    < self.target_duration_seconds * PLAYLIST_CACHE_TARGET_DURATIONS)
         {
-            let _ = job.reply.send(super::playlist(text.clone()));
+            let _ = request.reply.send(super::playlist_reply(text.clone()));
             return;
         }
-        let path = variant.and_then(|v| self.state.path(v)).unwrap_or(&job.path).to_string();
-        let Some(url) = self.url(&path) else {
-            let _ = job.reply.send(plain(StatusCode::BAD_GATEWAY, "the node's URL can't be used"));
+        let path = variant.and_then(|v| self.state.path(v)).unwrap_or(&request.path).to_string();
+        let Some(node_url) = self.node_url(&path) else {
+            let _ = request.reply.send(text_reply(StatusCode::BAD_GATEWAY, "the node's URL can't be used"));
             return;
         };
-        let (status, load, bytes) = match fetch::text(&shared, &url).await {
+        let (status, load, bytes) = match fetch::get_playlist(&context, &node_url).await {
             Ok(fetched) => fetched,
-            Err(lost) => {
-                self.lost(lost).await;
-                return Box::pin(self.job(job)).await;
+            Err(error) => {
+                self.node_lost(error).await;
+                return Box::pin(self.handle_request(request)).await;
             }
         };
-        if let (Some(load), Some(held)) = (load, &self.held) {
-            let node = held.node.0;
-            shared.core.tell(Input::NodeLoad { node, load }).await;
+        if let (Some(load), Some(accepted)) = (load, &self.accepted) {
+            let node = accepted.node.0;
+            context.engine.submit(Input::NodeLoad { node, load }).await;
         }
         if status != StatusCode::OK {
             let status = if status.is_client_error() { status } else { StatusCode::BAD_GATEWAY };
-            let _ = job.reply.send(plain(status, "the node doesn't give this playlist"));
+            let _ = request.reply.send(text_reply(status, "the node doesn't give this playlist"));
             return;
         }
-        let folder = fetch::folder(&url);
-        let place = Place { url: &url, folder: &folder };
-        let give = |path: &str| {
-            self.front.give(&self.title, &self.signed, self.token.sess, Ask::Part(variant), path)
+        let folder = fetch::title_folder(&node_url);
+        let place = Place { url: &node_url, folder: &folder };
+        let sign = |path: &str| {
+            self.front.signed_uri(&self.title, &self.signed_token, self.token.sess, Ask::Part(variant), path)
         };
-        match playlist::media(&bytes, &place, &give) {
+        match playlist::media(&bytes, &place, &sign) {
             Ok(media) => {
                 self.state.target(media.target);
-                self.target = media.target;
-                if keep && (self.kept.len() < MOST_KEPT || self.kept.contains_key(&ask)) {
-                    self.kept.insert(ask, (now, media.ended, media.text.clone()));
+                self.target_duration_seconds = media.target;
+                if cacheable
+                    && (self.playlist_cache.len() < MAX_CACHED_PLAYLISTS
+                        || self.playlist_cache.contains_key(&resource))
+                {
+                    self.playlist_cache.insert(resource, (now, media.ended, media.text.clone()));
                 }
-                let _ = job.reply.send(super::playlist(media.text));
+                let _ = request.reply.send(super::playlist_reply(media.text));
             }
-            Err(trouble) => {
-                warn!(sess = self.sess.0, %trouble, "a media playlist can't be used");
-                let _ = job.reply.send(plain(StatusCode::BAD_GATEWAY, "the node's playlist can't be used"));
+            Err(error) => {
+                warn!(sess = self.session_id.0, trouble = %error, "the node's media playlist is invalid");
+                let _ = request
+                    .reply
+                    .send(text_reply(StatusCode::BAD_GATEWAY, "the node's playlist can't be used"));
             }
         }
     }
 
-    /// A segment, or anything else that is passed on as it is.
-    fn part(&mut self, job: Job, variant: Option<usize>) {
-        let shared = self.front.shared.clone();
-        let Some(url) = self.url(&job.path).filter(|_| self.state.open() < MOST_OPEN) else {
-            let _ = job.reply.send(busy("too many segments at once", Some(1.0)));
+    /// Relays a segment, or any other resource that is passed on unchanged.
+    fn relay_segment(&mut self, request: PlayerRequest, variant: Option<usize>) {
+        let context = self.front.context.clone();
+        let Some(node_url) = self.node_url(&request.path).filter(|_| self.state.open() < MAX_IN_FLIGHT)
+        else {
+            let _ = request.reply.send(busy_reply("too many segments at once", Some(1.0)));
             return;
         };
         self.state.begins();
-        let done = self.done.clone();
+        let relay_results = self.relay_results.clone();
         tokio::spawn(async move {
-            let asked = std::time::Instant::now();
-            let reply = match fetch::get(&shared, &url, job.range).await {
+            let requested = std::time::Instant::now();
+            let reply = match fetch::get(&context, &node_url, request.range).await {
                 Ok(response) => {
                     let mut reply = Response::new(());
                     *reply.status_mut() = response.status();
@@ -392,66 +441,79 @@
                             reply.headers_mut().insert(name, value.clone());
                         }
                     }
-                    let relay = Relay::new(response.into_body(), variant, asked, done);
+                    let relay = RelayBody::new(response.into_body(), variant, requested, relay_results);
                     reply.map(|()| relay.boxed())
                 }
-                Err(lost) => {
-                    let broken = lost == Lost::Node;
-                    let _ = done.try_send(Relayed { variant, bytes: 0, waited: asked.elapsed(), broken });
-                    busy("the node doesn't answer", Some(1.0))
+                Err(error) => {
+                    let node_failed = error == FetchError::Disconnected;
+                    let _ = relay_results.try_send(RelayResult {
+                        variant,
+                        bytes: 0,
+                        node_wait: requested.elapsed(),
+                        node_failed,
+                    });
+                    busy_reply("the node doesn't answer", Some(1.0))
                 }
             };
-            // A player that is gone drops the segment, and that is told as well.
-            let _ = job.reply.send(reply);
+            // If the player has disconnected, the relay is dropped and reports its result all the same.
+            let _ = request.reply.send(reply);
         });
     }
 
-    async fn relayed(&mut self, relayed: Relayed) {
-        let shared = self.front.shared.clone();
-        self.state.done(shared.clock.now());
-        if relayed.broken {
-            return self.lost(Lost::Node).await;
+    /// Reports the delivery of a relayed segment to the engine, or the loss of the node.
+    async fn handle_relay_result(&mut self, relayed: RelayResult) {
+        let context = self.front.context.clone();
+        self.state.done(context.clock.now());
+        if relayed.node_failed {
+            return self.node_lost(FetchError::Disconnected).await;
         }
-        let path = relayed.variant.and_then(|v| self.state.rate(v));
-        if let Some(rate) = path.filter(|_| relayed.bytes > 0) {
-            // What came while the node was waited for, against what the variant asks.
-            let got = relayed.bytes as f64 / 1e3 / relayed.waited.as_secs_f64().max(1e-3);
-            let share = (got / rate).min(1.0);
-            shared.core.tell(Input::SessionDelivery { session: self.sess, share }).await;
+        let variant_rate = relayed.variant.and_then(|v| self.state.rate(v));
+        if let Some(rate) = variant_rate.filter(|_| relayed.bytes > 0) {
+            // Bytes received per time spent waiting for the node, relative to the variant's rate.
+            let received_rate = relayed.bytes as f64 / 1e3 / relayed.node_wait.as_secs_f64().max(1e-3);
+            let share = (received_rate / rate).min(1.0);
+            context.engine.submit(Input::SessionDelivery { session: self.session_id, share }).await;
         }
     }
 
-    /// The node is gone: told as a lost session. Whoever may be set up again is, at its next request.
-    async fn lost(&mut self, lost: Lost) {
+    /// Reports the session as lost with its node. If its service group allows another SETUP, the session is requested
+    /// again at the player's next request; otherwise it ends.
+    async fn node_lost(&mut self, error: FetchError) {
         if !self.state.lost() {
             return;
         }
-        let shared = self.front.shared.clone();
-        let how = if lost == Lost::Node { AttemptOutcome::Lost } else { AttemptOutcome::Silent };
-        info!(sess = self.sess.0, ?how, "broken");
-        shared.core.tell(Input::SessionEnded { session: self.sess, outcome: how }).await;
-        shared.core.send(Command::Close(self.sess)).await;
-        self.held = None;
-        self.kept.clear();
-        let care = shared.settings.headend.groups.get(self.want.group.0).map(|group| group.retry_safety);
-        if care != Some(RetrySafety::Safe) {
+        let context = self.front.context.clone();
+        let how =
+            if error == FetchError::Disconnected { AttemptOutcome::Lost } else { AttemptOutcome::Silent };
+        info!(
+            sess = self.session_id.0,
+            ?how,
+            "session lost: the node's connection failed or the node didn't respond"
+        );
+        context.engine.submit(Input::SessionEnded { session: self.session_id, outcome: how }).await;
+        context.engine.send(EngineMessage::CloseSession(self.session_id)).await;
+        self.accepted = None;
+        self.playlist_cache.clear();
+        let retry_safety =
+            context.settings.headend.groups.get(self.viewer_request.group.0).map(|group| group.retry_safety);
+        if retry_safety != Some(RetrySafety::Safe) {
             self.state.over();
         }
     }
 
-    /// Whatever is out for it is ended and told.
+    /// Ends the session: answers waiting requests, cancels its SETUP and reports its end to the engine.
     async fn end(&mut self) {
-        for job in self.waiting.drain(..) {
-            let _ = job.reply.send(plain(StatusCode::GONE, "the session is over"));
+        for request in self.waiting_requests.drain(..) {
+            let _ = request.reply.send(text_reply(StatusCode::GONE, "the session is over"));
         }
-        let core = self.front.shared.core.clone();
-        let sess = self.sess;
-        core.tell(Input::ViewerLeft { session: sess }).await;
+        let engine = self.front.context.engine.clone();
+        let session_id = self.session_id;
+        engine.submit(Input::ViewerLeft { session: session_id }).await;
         if let Some(attempt) = self.attempt.take() {
             let setup = attempt.setup;
-            let (input, _) = attempt::told(sess, setup, attempt.withdraw().await);
-            core.tell(input).await;
+            let (input, _) = attempt::setup_input(session_id, setup, attempt.cancel().await);
+            engine.submit(input).await;
         }
-        orders::close(&core, sess, &mut self.orders).await;
+        engine_handle::close_session(&engine, session_id, &mut self.commands).await;
     }
 }
--- a/crates/director/src/lib.rs
+++ b/crates/director/src/lib.rs
@@ -1,24 +1,25 @@
-//! The director on sockets: a thin shell around the engine. One task owns the engine and drains what has come in
-//! into one round; connection tasks carry bytes and time. Nothing here decides.
+//! The director's network I/O around the engine. One task owns the engine and runs it in rounds. Tasks for each
+//! viewer's connection, session and node list feed it inputs and carry out its effects. Which session goes to which
+//! node is decided by the engine alone.
 
 mod attempt;
-mod core;
-mod errands;
+mod context;
+mod engine_handle;
+mod engine_task;
 mod files;
 mod hls;
-mod lists;
-mod node;
-mod orders;
-mod owed;
+mod node_lists;
+mod node_requests;
+mod node_session;
 mod pool;
 mod probe;
 mod serve;
 mod session;
-mod shared;
+mod teardown;
 mod viewer;
 
 pub use ashglade_clock::Clock;
 pub use ashglade_peer_transport::InjectedFault;
-pub use files::Trouble;
-pub use lists::Files;
+pub use files::StartupError;
+pub use node_lists::NodeListFiles;
 pub use serve::{Options, door_view, load, replay_start, serve, shared_view};
--- a/crates/director/src/pool.rs
+++ b/crates/director/src/pool.rs
@@ -1,5 +1,5 @@
-//! Idle connections to nodes, kept so that a SETUP need not wait for a handshake. A connection carries one session
-//! at a time: to give a SETUP up is to close its connection, which no other session has to suffer for.
+//! Pool of idle connections to nodes, so that a SETUP need not wait for a TCP handshake. A connection carries one
+//! session at a time: a SETUP is cancelled by closing its connection, which must not disturb another session.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,51 +12,55 @@
 use tokio::time::Instant;
 use tokio_util::codec::Framed;
 
+/// An RTSP connection to a node.
 pub type Connection = Framed<TcpStream, Codec>;
 
-/// Bytes read from a node at once, at first.
-const READ: usize = 16 * 1024;
-/// An idle connection is held for so long: under the time after which most servers close it.
-const IDLE: Duration = Duration::from_secs(20);
+/// Initial size of the read buffer of a connection.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// The time after which an idle connection is dropped. Shorter than the idle timeout of most servers.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-pub struct Pool {
-    most: usize,
+/// Idle connections by the node's address.
+pub struct ConnectionPool {
+    max_idle_per_node: usize,
     idle: Mutex<HashMap<SocketAddr, Vec<(Instant, Connection)>>>,
 }
 
-impl Pool {
-    pub fn new(most: usize) -> Pool {
-        Pool { most, idle: Mutex::default() }
+impl ConnectionPool {
+    /// Keeps at most `max_idle_per_node` idle connections to each node.
+    pub fn new(max_idle_per_node: usize) -> ConnectionPool {
+        ConnectionPool { max_idle_per_node, idle: Mutex::default() }
     }
 
-    /// An idle connection on which the node has neither said anything nor gone, the latest used first.
+    /// Takes the most recently used idle connection that the node has neither closed nor sent anything on.
     pub fn take(&self, node: SocketAddr) -> Option<Connection> {
-        let mut idle = self.idle.lock().unwrap_or_else(|broken| broken.into_inner());
-        let kept = idle.get_mut(&node)?;
-        while let Some((since, mut connection)) = kept.pop() {
-            if since.elapsed() < IDLE && connection.next().now_or_never().is_none() {
+        let mut idle = self.idle.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        let connections = idle.get_mut(&node)?;
+        while let Some((idle_since, mut connection)) = connections.pop() {
+            if idle_since.elapsed() < IDLE_TIMEOUT && connection.next().now_or_never().is_none() {
                 return Some(connection);
             }
         }
         None
     }
 
+    /// Returns a connection without a session to the pool, or closes it if the pool is full.
     pub fn put(&self, node: SocketAddr, connection: Connection) {
-        let mut idle = self.idle.lock().unwrap_or_else(|broken| broken.into_inner());
-        let kept = idle.entry(node).or_default();
-        kept.retain(|(since, _)| since.elapsed() < IDLE);
-        if kept.len() < self.most {
-            kept.push((Instant::now(), connection));
+        let mut idle = self.idle.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        let connections = idle.entry(node).or_default();
+        connections.retain(|(idle_since, _)| idle_since.elapsed() < IDLE_TIMEOUT);
+        if connections.len() < self.max_idle_per_node {
+            connections.push((Instant::now(), connection));
         }
     }
 
-    /// Opens a connection, or takes an idle one.
-    pub async fn connect(&self, node: SocketAddr, within: Duration) -> std::io::Result<Connection> {
+    /// Takes an idle connection, or opens one within `timeout`.
+    pub async fn connect(&self, node: SocketAddr, timeout: Duration) -> std::io::Result<Connection> {
         if let Some(connection) = self.take(node) {
             return Ok(connection);
         }
-        let stream = tokio::time::timeout(within, TcpStream::connect(node)).await??;
+        let stream = tokio::time::timeout(timeout, TcpStream::connect(node)).await??;
         stream.set_nodelay(true)?;
-        Ok(Framed::with_capacity(stream, Codec::relaying(), READ))
+        Ok(Framed::with_capacity(stream, Codec::relaying(), READ_BUFFER_BYTES))
     }
 }
--- a/crates/director/src/probe.rs
+++ b/crates/director/src/probe.rs
@@ -1,4 +1,4 @@
-//! Asks a node for its load: GET_PARAMETER without a session (RFC 2326, 10.8).
+//! Probes: asks a node for its load with GET_PARAMETER outside of a session (RFC 2326, 10.8).
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,17 +10,17 @@
 use rtsp_types::{Method, Url, headers};
 
 use crate::attempt;
-use crate::shared::Shared;
+use crate::context::DirectorContext;
 
-/// Tells the engine what came of a probe; the engine itself knows when it is too late.
-pub async fn probe(shared: Arc<Shared>, probe: u64, node: SocketAddr) {
-    let within = Duration::from_secs_f64(shared.settings.probe_timeout.as_ms() / 1e3);
-    let load = tokio::time::timeout(within, ask(&shared, node)).await.ok().flatten();
-    shared.core.tell(Input::ProbeResult { probe, load }).await;
+/// Sends a probe and reports the result to the engine. The engine ignores a result that arrives too late.
+pub async fn run(context: Arc<DirectorContext>, probe: u64, node: SocketAddr) {
+    let timeout = Duration::from_secs_f64(context.settings.probe_timeout.as_ms() / 1e3);
+    let load = tokio::time::timeout(timeout, request_load(&context, node)).await.ok().flatten();
+    context.engine.submit(Input::ProbeResult { probe, load }).await;
 }
 
-async fn ask(shared: &Shared, node: SocketAddr) -> Option<LoadReport> {
-    let mut connection = shared.pool.connect(node, shared.settings.front.connect_timeout).await.ok()?;
+async fn request_load(context: &DirectorContext, node: SocketAddr) -> Option<LoadReport> {
+    let mut connection = context.pool.connect(node, context.settings.front.connect_timeout).await.ok()?;
     let url = Url::parse(&format!("rtsp://{node}/")).ok()?;
     let mut request = messages::request(Method::GetParameter, &url, 1);
     request.insert_header(headers::CONTENT_TYPE, "text/parameters");
@@ -28,8 +28,8 @@
     connection.send(Packet::Request(request)).await.ok()?;
     loop {
         if let Packet::Response(response) = connection.next().await?.ok()? {
-            let load = attempt::load(&response);
-            shared.pool.put(node, connection);
+            let load = attempt::load_report(&response);
+            context.pool.put(node, connection);
             return load;
         }
     }
--- a/crates/director/src/serve.rs
+++ b/crates/director/src/serve.rs
@@ -1,4 +1,4 @@
-//! Starting, listening, following the box list, stopping.
+//! Start and stop of a director: settings, listeners, tasks and drain.
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::AtomicU64;
@@ -20,46 +20,49 @@
 use tokio::sync::{Semaphore, mpsc, watch};
 use tracing::{info, warn};
 
-use crate::core::{self, Book, With};
-use crate::files::{Trouble, beside, read, replace};
-use crate::lists::{self, Files};
-use crate::orders::{Core, INPUTS};
-use crate::pool::Pool;
-use crate::shared::Shared;
-use crate::{errands, viewer};
+use crate::context::DirectorContext;
+use crate::engine_handle::{ENGINE_QUEUE_CAPACITY, EngineHandle};
+use crate::engine_task::{self, EngineTaskConfig, LedgerStore};
+use crate::files::{StartupError, beside, read, replace};
+use crate::node_lists::{self, NodeListFiles};
+use crate::pool::ConnectionPool;
+use crate::{node_requests, viewer};
 use ashglade_clock::Clock;
 
-/// How a director is started.
+/// Options of a director's start.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
+    /// The settings file.
     pub settings: PathBuf,
-    /// Where each round is written, if anywhere.
+    /// Where the engine's rounds are recorded, as JSON lines, if anywhere.
     pub record: Option<PathBuf>,
-    /// Broken on purpose by the lab, to see that its judge finds out. No command in service sets it.
+    /// Fault in the exchange between directors, injected by the lab to check that its judge detects it. No command of
+    /// the director sets it.
     pub defect: Option<ashglade_peer_transport::InjectedFault>,
 }
 
-/// Reads and checks settings and box lists; the list that would be in force, and where lists are read.
-pub fn load(path: &Path) -> Result<(Settings, NodeList, Files), Trouble> {
+/// Reads and checks the settings and the node lists. Returns the settings, the node list that a director would start
+/// with, and the files it would follow.
+pub fn load(path: &Path) -> Result<(Settings, NodeList, NodeListFiles), StartupError> {
     let settings = ashglade_settings::settings(&path.display().to_string(), &read(path)?)?;
-    let files = Files::new(&settings, path);
-    let (_, list) = lists::open(&settings, &files, ashglade::time::Instant::default())?;
+    let files = NodeListFiles::new(&settings, path);
+    let (_, list) = node_lists::load(&settings, &files, ashglade::time::Instant::default())?;
     Ok((settings, list, files))
 }
 
-/// Where a director with these settings writes what is to be seen of its door.
+/// Returns the file to which a director with these settings writes the status of its admission queue.
 pub fn door_view(settings: &Settings, path: &Path) -> Option<PathBuf> {
     let view = settings.door.as_ref()?.view.as_ref()?;
     Some(beside(path, view))
 }
 
-/// Where a director with these settings writes what it believes of others and of nodes.
+/// Returns the file to which a director with these settings writes its view of other directors and of nodes.
 pub fn shared_view(settings: &Settings, path: &Path) -> Option<PathBuf> {
     let view = settings.talk.as_ref()?.share.as_ref()?.view.as_ref()?;
     Some(beside(path, view))
 }
 
-/// What the engine is started with, from settings.
+/// Returns the engine's configuration from the settings.
 pub fn replay_start(settings: &Settings) -> EngineConfig {
     let headend = &settings.headend;
     EngineConfig {
@@ -67,10 +70,10 @@
         answer_margin: settings.answer_margin,
         probe_timeout: settings.probe_timeout,
         max_sessions: settings.most_sessions,
-        admission: settings.door.as_ref().map(|door| AdmissionConfig {
+        admission: settings.door.as_ref().map(|admission| AdmissionConfig {
             seed: headend.seed,
-            groups: door.shares.iter().copied().zip(headend.groups.iter().map(|g| g.utility)).collect(),
-            tenant_weights: door.tenants.iter().map(|&(_, share)| share).collect(),
+            groups: admission.shares.iter().copied().zip(headend.groups.iter().map(|g| g.utility)).collect(),
+            tenant_weights: admission.tenants.iter().map(|&(_, share)| share).collect(),
             min_start_target: headend
                 .groups
                 .iter()
@@ -78,135 +81,154 @@
                 .min()
                 .unwrap_or(Span::from_secs(1.0)),
             max_retry_after: headend.max_retry_after,
-            max_waiting: door.most_waiting,
-            concurrency_limits: door.hands,
+            max_waiting: admission.most_waiting,
+            concurrency_limits: admission.hands,
         }),
     }
 }
 
-/// Runs a director until it is told to stop: the first SIGTERM or SIGINT drains it, the second ends it.
-pub async fn serve(options: Options) -> Result<(), Trouble> {
+/// Runs a director until it is stopped: the first SIGTERM or SIGINT drains it, the second ends it at once.
+pub async fn serve(options: Options) -> Result<(), StartupError> {
     let settings =
         ashglade_settings::settings(&options.settings.display().to_string(), &read(&options.settings)?)?;
-    let files = Files::new(&settings, &options.settings);
-    let record = match &options.record {
+    let files = NodeListFiles::new(&settings, &options.settings);
+    let recording = match &options.record {
         Some(path) => {
-            let made = std::fs::File::create(path);
-            Some(made.map_err(|source| Trouble::Read { path: path.clone(), source })?)
+            let created = std::fs::File::create(path);
+            Some(created.map_err(|source| StartupError::Read { path: path.clone(), source })?)
         }
         None => None,
     };
     let address = settings.front.listen;
-    let listener = TcpListener::bind(address).await.map_err(|source| Trouble::Listen { address, source })?;
-    let second = match &settings.hls {
+    let listener =
+        TcpListener::bind(address).await.map_err(|source| StartupError::Listen { address, source })?;
+    let hls_listener = match &settings.hls {
         Some(hls) => {
             let address = hls.listen;
             let listener = TcpListener::bind(address).await;
-            Some((hls.clone(), listener.map_err(|source| Trouble::Listen { address, source })?))
+            Some((hls.clone(), listener.map_err(|source| StartupError::Listen { address, source })?))
         }
         None => None,
     };
-    let talk = match &settings.talk {
+    let peer_socket = match &settings.talk {
         Some(talk) => {
             let address = talk.peers[settings.headend.director_index];
             let socket = UdpSocket::bind(address).await;
-            Some(socket.map_err(|source| Trouble::Listen { address, source })?)
+            Some(socket.map_err(|source| StartupError::Listen { address, source })?)
         }
         None => None,
     };
-    let mut terms = signal(SignalKind::terminate()).map_err(Trouble::Signals)?;
-    let mut interrupts = signal(SignalKind::interrupt()).map_err(Trouble::Signals)?;
+    let mut terminate_signals = signal(SignalKind::terminate()).map_err(StartupError::Signals)?;
+    let mut interrupt_signals = signal(SignalKind::interrupt()).map_err(StartupError::Signals)?;
     let clock = Clock::start();
-    let (watch, list) = lists::open(&settings, &files, clock.now())?;
-    let (core, commands) = Core::new();
-    let started = clock.now().as_ms() as u64;
-    let shared = Arc::new(Shared {
-        core,
+    let (merger, list) = node_lists::load(&settings, &files, clock.now())?;
+    let (engine, messages) = EngineHandle::new();
+    let started_ms = clock.now().as_ms() as u64;
+    let context = Arc::new(DirectorContext {
+        engine,
         clock,
-        pool: Pool::new(settings.front.idle_connections),
-        http: http_client(&settings),
+        pool: ConnectionPool::new(settings.front.idle_connections),
+        http_client: http_client(&settings),
         settings: settings.clone(),
         draining: watch::channel(false).0,
         users: settings.front.users.clone().map(|(realm, users)| Arc::new(Users { realm, users })),
-        next_sess: AtomicU64::new(started << 20),
+        next_session_id: AtomicU64::new(started_ms << 20),
         random: Mutex::new(oorandom::Rand64::new(
-            u128::from(started) << 64 | u128::from(settings.headend.seed),
+            u128::from(started_ms) << 64 | u128::from(settings.headend.seed),
         )),
     });
-    let (drained, mut is_drained) = watch::channel(false);
-    shared.core.tell(Input::DiscoverySnapshot(list.clone())).await;
-    let book = book(&settings, &options.settings, clock.now())?;
-    let (seen, outcomes) = mpsc::channel(INPUTS);
-    let talk = talk.and_then(|socket| {
-        let view = shared_view(&settings, &options.settings);
-        ashglade_peer_transport::PeerTransport::new(&settings, socket, clock, outcomes, view).map(
-            |mut started| {
-                started.config.injected_fault = options.defect;
-                started
-            },
+    let (drained, mut drained_receiver) = watch::channel(false);
+    context.engine.submit(Input::DiscoverySnapshot(list.clone())).await;
+    let ledger_store = open_ledger(&settings, &options.settings, clock.now())?;
+    let (setup_results, setup_result_receiver) = mpsc::channel(ENGINE_QUEUE_CAPACITY);
+    let peer_transport = peer_socket.and_then(|socket| {
+        let status_path = shared_view(&settings, &options.settings);
+        ashglade_peer_transport::PeerTransport::new(
+            &settings,
+            socket,
+            clock,
+            setup_result_receiver,
+            status_path,
         )
+        .map(|mut transport| {
+            transport.config.injected_fault = options.defect;
+            transport
+        })
     });
-    // Only what is shared by settings is told of.
-    let seen = settings.talk.as_ref().and_then(|talk| talk.share.as_ref()).map(|_| seen);
-    let start = replay_start(&settings);
-    let (errands, wanted) = mpsc::channel(INPUTS);
-    let with = With { clock, door_view: door_view(&settings, &options.settings), errands };
-    tokio::spawn(core::run(with, start, commands, record, book, drained, seen));
-    tokio::spawn(errands::run(shared.clone(), wanted));
-    tokio::spawn(lists::follow(shared.clone(), files, watch));
-    if let Some((hls, listener)) = second {
+    // Results of SETUPs go to other directors only where `talk.share` is set.
+    let setup_results = settings.talk.as_ref().and_then(|talk| talk.share.as_ref()).map(|_| setup_results);
+    let engine_config = replay_start(&settings);
+    let (node_requests, node_request_receiver) = mpsc::channel(ENGINE_QUEUE_CAPACITY);
+    let task_config = EngineTaskConfig {
+        clock,
+        admission_status_path: door_view(&settings, &options.settings),
+        node_requests,
+    };
+    tokio::spawn(engine_task::run(
+        task_config,
+        engine_config,
+        messages,
+        recording,
+        ledger_store,
+        drained,
+        setup_results,
+    ));
+    tokio::spawn(node_requests::run(context.clone(), node_request_receiver));
+    tokio::spawn(node_lists::follow(context.clone(), files, merger));
+    if let Some((hls, listener)) = hls_listener {
         info!(address = %hls.listen, "serving HLS");
-        tokio::spawn(crate::hls::run(shared.clone(), listener, hls));
+        tokio::spawn(crate::hls::run(context.clone(), listener, hls));
     }
-    if let Some(talk) = talk {
-        tokio::spawn(ashglade_peer_transport::run(talk, shared.core.clone()));
+    if let Some(peer_transport) = peer_transport {
+        tokio::spawn(ashglade_peer_transport::run(peer_transport, context.engine.clone()));
     }
     info!(%address, director = settings.headend.director_index, nodes = list.entries.len(), "serving");
 
-    // Beyond the bound viewers wait in the kernel's queue: nothing of theirs has been taken.
-    let places = Arc::new(Semaphore::new(settings.front.most_connections));
+    // Beyond the connection limit, viewers wait in the kernel's accept queue; nothing has been read from them.
+    let connection_permits = Arc::new(Semaphore::new(settings.front.most_connections));
     loop {
         let accept = async {
-            let place = places.clone().acquire_owned().await;
-            (listener.accept().await, place)
+            let permit = connection_permits.clone().acquire_owned().await;
+            (listener.accept().await, permit)
         };
         tokio::select! {
-            (accepted, place) = accept => match (accepted, place) {
-                (Ok((stream, _)), Ok(place)) => {
-                    let shared = shared.clone();
+            (accepted, permit) = accept => match (accepted, permit) {
+                (Ok((stream, _)), Ok(permit)) => {
+                    let context = context.clone();
                     tokio::spawn(async move {
-                        viewer::run(shared, stream).await;
-                        drop(place);
+                        viewer::run(context, stream).await;
+                        drop(permit);
                     });
                 }
                 (Err(error), _) => {
-                    // As when no more files may be opened: others must end first.
-                    warn!(%error, "a connection could not be accepted");
+                    // For example, the limit on open files is reached. Retries after connections may have ended.
+                    warn!(%error, "accepting a connection failed");
                     tokio::time::sleep(std::time::Duration::from_millis(50)).await;
                 }
                 (_, Err(_)) => break,
             },
-            _ = terms.recv() => break,
-            _ = interrupts.recv() => break,
+            _ = terminate_signals.recv() => break,
+            _ = interrupt_signals.recv() => break,
         }
     }
     drop(listener);
-    info!("draining: nothing new is taken");
-    shared.core.tell(Input::Drain).await;
-    let _ = shared.draining.send(true);
+    info!("draining: new sessions are rejected");
+    context.engine.submit(Input::Drain).await;
+    let _ = context.draining.send(true);
     tokio::select! {
-        _ = is_drained.wait_for(|&drained| drained) => {}
-        () = tokio::time::sleep(shared.settings.front.drain) => info!("the time to drain is over"),
-        _ = terms.recv() => info!("told to stop again"),
-        _ = interrupts.recv() => info!("told to stop again"),
+        _ = drained_receiver.wait_for(|&drained| drained) => {}
+        () = tokio::time::sleep(context.settings.front.drain) => info!("the drain timeout has passed"),
+        _ = terminate_signals.recv() => info!("second stop signal; stopping at once"),
+        _ = interrupt_signals.recv() => info!("second stop signal; stopping at once"),
     }
-    if let Some((tally, in_hand)) = shared.core.tally().await {
+    if let Some((tally, session_count)) = context.engine.tally().await {
         let tally = serde_json::to_string(&tally).unwrap_or_default();
-        info!(in_hand, tally, "stopped");
+        info!(in_hand = session_count, tally, "stopped");
     }
     Ok(())
 }
 
+/// Returns the HTTP client for HLS requests to nodes.
 fn http_client(settings: &Settings) -> Client<HttpConnector, Empty<Bytes>> {
     let mut connector = HttpConnector::new();
     connector.set_connect_timeout(Some(settings.front.connect_timeout));
@@ -214,31 +236,37 @@
     Client::builder(TokioExecutor::new())
         .pool_timer(TokioTimer::new())
         .pool_max_idle_per_host(settings.front.idle_connections)
-        // Under the time after which most servers close an idle connection.
+        // Shorter than the idle timeout of most servers.
         .pool_idle_timeout(std::time::Duration::from_secs(20))
         .build(connector)
 }
 
-/// Opens the ledger, with what the director before this one left in it, and begins its pages anew.
-fn book(settings: &Settings, path: &Path, now: ashglade::time::Instant) -> Result<Book, Trouble> {
+/// Opens the session ledger. The sessions that an earlier run left in the journal become pending tear-downs, and the
+/// journal is rewritten with these alone.
+fn open_ledger(
+    settings: &Settings,
+    path: &Path,
+    now: ashglade::time::Instant,
+) -> Result<LedgerStore, StartupError> {
     let mut ledger = Ledger::new(TeardownPolicy::default(), settings.headend.seed);
-    let Some(name) = &settings.front.ledger else { return Ok(Book { ledger, file: None }) };
+    let Some(name) = &settings.front.ledger else { return Ok(LedgerStore { ledger, file: None }) };
     let path = beside(path, name);
-    let trouble = |source| Trouble::Read { path: path.clone(), source };
-    let open = match std::fs::read_to_string(&path) {
-        Ok(text) => {
-            journal::open_sessions(&text).map_err(|source| Trouble::Ledger { path: path.clone(), source })?
-        }
+    let read_error = |source| StartupError::Read { path: path.clone(), source };
+    let open_sessions = match std::fs::read_to_string(&path) {
+        Ok(text) => journal::open_sessions(&text)
+            .map_err(|source| StartupError::Ledger { path: path.clone(), source })?,
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => Default::default(),
-        Err(error) => return Err(trouble(error)),
+        Err(error) => return Err(read_error(error)),
     };
-    let lines: String =
-        open.iter().map(|(&key, held)| journal::encode(&journal::Entry::Held(key, held.clone()))).collect();
-    replace(&path, &lines).map_err(trouble)?;
-    let file = std::fs::OpenOptions::new().append(true).open(&path).map_err(trouble)?;
-    if !open.is_empty() {
-        info!(sessions = open.len(), "tear-downs owed by the director before this one");
+    let lines: String = open_sessions
+        .iter()
+        .map(|(&key, held)| journal::encode(&journal::Entry::Held(key, held.clone())))
+        .collect();
+    replace(&path, &lines).map_err(read_error)?;
+    let file = std::fs::OpenOptions::new().append(true).open(&path).map_err(read_error)?;
+    if !open_sessions.is_empty() {
+        info!(sessions = open_sessions.len(), "tear-downs pending from an earlier run");
     }
-    open.into_iter().for_each(|(key, held)| ledger.schedule_inherited(key, held, now));
-    Ok(Book { ledger, file: Some(file) })
+    open_sessions.into_iter().for_each(|(key, held)| ledger.schedule_inherited(key, held, now));
+    Ok(LedgerStore { ledger, file: Some(file) })
 }
--- a/crates/director/src/session.rs
+++ b/crates/director/src/session.rs
@@ -1,4 +1,5 @@
-//! One session of a viewer's connection: its SETUP that is out, its node, and the media of its tracks on their way.
+//! The session of an RTSP viewer: its SETUP attempt in flight, its node, and the rewriting of its media from the
+//! node's RTP stream to the stream that the viewer sees.
 
 use ashglade::ids::SessionId;
 use ashglade_rtsp::presentation::{self, Asked};
@@ -8,21 +9,23 @@
 use tokio::time::Instant;
 
 use crate::attempt::Attempt;
-use crate::node::NodeSide;
-use crate::orders::Order;
-use crate::shared::Shared;
+use crate::context::DirectorContext;
+use crate::engine_handle::SessionCommand;
+use crate::node_session::NodeSession;
 
-/// A session, from its request to its end.
-pub struct Live {
-    pub sess: SessionId,
-    pub asked: Asked,
-    pub orders: mpsc::Receiver<Order>,
-    pub attempt: Option<Attempt<Box<NodeSide>>>,
-    pub node: Option<Box<NodeSide>>,
-    /// The rung that the engine wants, and the one that the node was told.
+/// An RTSP session, from the viewer's request to its end.
+pub struct RtspSession {
+    pub id: SessionId,
+    /// What the viewer requested by its URL.
+    pub requested: Asked,
+    pub commands: mpsc::Receiver<SessionCommand>,
+    pub attempt: Option<Attempt<Box<NodeSession>>>,
+    pub node: Option<Box<NodeSession>>,
+    /// The rung chosen by the engine.
     pub rung: u8,
-    pub told: u8,
-    pub kept_alive: Instant,
+    /// The rung last requested from the node.
+    pub node_rung: u8,
+    pub last_keep_alive: Instant,
     tracks: Vec<Track>,
 }
 
@@ -30,43 +33,48 @@
 struct Track {
     rewriter: Rewriter,
     meter: Meter,
-    /// What the viewer last reported.
-    heard: Option<Heard>,
+    /// The viewer's last RTCP receiver report.
+    receiver_report: Option<Heard>,
 }
 
-/// What is to be done with a frame of the node's.
-pub enum Frame {
+/// What an interleaved frame of the node carries.
+pub enum FrameKind {
     Rtp {
         track: u8,
     },
     Rtcp {
         track: u8,
     },
-    /// The node said that the stream is over; this goes on to the viewer all the same.
+    /// An RTCP packet with a BYE, by which the node ends the stream. It is still relayed to the viewer.
     Bye {
         track: u8,
     },
-    /// Nobody's.
-    Stray,
+    /// Of no known track, or not a valid packet. It is dropped.
+    Unknown,
 }
 
-impl Live {
-    pub fn new(shared: &Shared, sess: SessionId, asked: Asked, orders: mpsc::Receiver<Order>) -> Live {
-        let track = |&rate: &u32| Track {
-            rewriter: Rewriter::new(shared.random() as u32, rate),
-            meter: Meter::new(rate, shared.clock.micros()),
-            heard: None,
+impl RtspSession {
+    pub fn new(
+        context: &DirectorContext,
+        id: SessionId,
+        requested: Asked,
+        commands: mpsc::Receiver<SessionCommand>,
+    ) -> RtspSession {
+        let track = |&clock_rate: &u32| Track {
+            rewriter: Rewriter::new(context.random() as u32, clock_rate),
+            meter: Meter::new(clock_rate, context.clock.micros()),
+            receiver_report: None,
         };
-        Live {
-            sess,
-            asked,
-            orders,
+        RtspSession {
+            id,
+            requested,
+            commands,
             attempt: None,
             node: None,
             rung: 0,
-            told: 0,
-            kept_alive: Instant::now(),
-            tracks: shared.settings.front.clock_rates.iter().map(track).collect(),
+            node_rung: 0,
+            last_keep_alive: Instant::now(),
+            tracks: context.settings.front.clock_rates.iter().map(track).collect(),
         }
     }
 
@@ -75,57 +83,59 @@
         self.tracks.get(usize::from(track)).map_or(0, |track| track.rewriter.ssrc())
     }
 
-    /// Makes a frame of the node's one of the viewer's stream.
-    pub fn frame(&mut self, channel: u8, payload: &mut [u8], now_us: u64) -> Frame {
-        let of = self.node.as_ref().and_then(|node| node.client.track_of(channel));
-        let Some((number, rtp)) = of else { return Frame::Stray };
-        let Some(track) = self.tracks.get_mut(usize::from(number)) else { return Frame::Stray };
+    /// Rewrites a frame of the node in place to one of the viewer's stream.
+    pub fn rewrite_frame(&mut self, channel: u8, payload: &mut [u8], now_us: u64) -> FrameKind {
+        let source = self.node.as_ref().and_then(|node| node.client.track_of(channel));
+        let Some((number, rtp)) = source else { return FrameKind::Unknown };
+        let Some(track) = self.tracks.get_mut(usize::from(number)) else { return FrameKind::Unknown };
         if rtp {
             track.meter.saw(payload);
             return match track.rewriter.rtp(payload, now_us) {
-                true => Frame::Rtp { track: number },
-                false => Frame::Stray,
+                true => FrameKind::Rtp { track: number },
+                false => FrameKind::Unknown,
             };
         }
         let bye = rtcp::says_bye(payload);
         match (track.rewriter.rtcp(payload), bye) {
-            (true, true) => Frame::Bye { track: number },
-            (true, false) => Frame::Rtcp { track: number },
-            (false, _) => Frame::Stray,
+            (true, true) => FrameKind::Bye { track: number },
+            (true, false) => FrameKind::Rtcp { track: number },
+            (false, _) => FrameKind::Unknown,
         }
     }
 
-    /// The viewer's RTCP on a track.
-    pub fn reported(&mut self, track: u8, packet: &[u8]) {
+    /// Keeps the receiver report in the viewer's RTCP packet on a track.
+    pub fn handle_viewer_rtcp(&mut self, track: u8, packet: &[u8]) {
         if let Some(track) = self.tracks.get_mut(usize::from(track)) {
-            track.heard = rtcp::heard(packet, track.rewriter.ssrc()).or(track.heard);
+            track.receiver_report = rtcp::heard(packet, track.rewriter.ssrc()).or(track.receiver_report);
         }
     }
 
-    /// The node's `RTP-Info` as it is true of the viewer's stream.
+    /// Converts the node's `RTP-Info` to the sequence numbers, timestamps and URLs of the viewer's stream.
     pub fn rtp_info(&self, value: &str) -> String {
-        let seen = presentation::rtp_info(value).into_iter().map(|mut begins| {
-            if let Some(track) = self.tracks.get(usize::from(begins.track)) {
-                let (seq, ts) = track.rewriter.seen(begins.seq.unwrap_or(0), begins.rtptime.unwrap_or(0));
-                (begins.seq, begins.rtptime) = (begins.seq.and(Some(seq)), begins.rtptime.and(Some(ts)));
+        let entries = presentation::rtp_info(value).into_iter().map(|mut entry| {
+            if let Some(track) = self.tracks.get(usize::from(entry.track)) {
+                let (seq, timestamp) =
+                    track.rewriter.seen(entry.seq.unwrap_or(0), entry.rtptime.unwrap_or(0));
+                (entry.seq, entry.rtptime) = (entry.seq.and(Some(seq)), entry.rtptime.and(Some(timestamp)));
             }
-            begins
+            entry
         });
-        presentation::write_rtp_info(seen, |track| self.asked.track_url(track))
+        presentation::write_rtp_info(entries, |track| self.requested.track_url(track))
     }
 
-    /// From here on what arrives is measured.
-    pub fn plays(&mut self, now_us: u64) {
+    /// Restarts the measurement of delivery, as the node now plays.
+    pub fn start_playing(&mut self, now_us: u64) {
         self.tracks.iter_mut().for_each(|track| track.meter.restart(now_us));
     }
 
-    /// The least share that any track of those set up got, as far as enough was due to tell: what arrived here, less
-    /// what the viewer says that it missed.
-    pub fn share(&mut self, now_us: u64, set_up: impl Fn(u8) -> bool) -> Option<f64> {
+    /// Returns the lowest share of its media that a track has received since the last call: what arrived from the node,
+    /// less the viewer's reported loss. Only tracks that are set up and of which enough was due count; `None` if there
+    /// is none.
+    pub fn delivered_share(&mut self, now_us: u64, set_up: impl Fn(u8) -> bool) -> Option<f64> {
         let shares =
             (0u8..).zip(&mut self.tracks).filter(|(number, _)| set_up(*number)).filter_map(|(_, track)| {
                 let flow = track.meter.take(now_us)?;
-                Some(flow.share * (1.0 - track.heard.map_or(0.0, |heard| heard.lost)))
+                Some(flow.share * (1.0 - track.receiver_report.map_or(0.0, |report| report.lost)))
             });
         shares.reduce(f64::min)
     }
--- a/crates/director/src/viewer.rs
+++ b/crates/director/src/viewer.rs
@@ -1,5 +1,6 @@
-//! One viewer's connection: its requests to the state machine, its session's orders from the engine, the node's
-//! frames to the viewer. What a slow viewer doesn't take isn't read from its node.
+//! The RTSP front: one viewer's connection. It passes the viewer's requests to the state machine, carries out the
+//! engine's commands for its session, and relays the node's frames. Back pressure: while a slow viewer takes no data,
+//! nothing is read from its node.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -23,189 +24,204 @@
 use tokio_util::codec::Framed;
 use tracing::{debug, info};
 
-use crate::attempt::{self, Attempt, Outcome, Wanted};
-use crate::node::NodeSide;
-use crate::orders::{self, Command, ORDERS, Order};
-use crate::session::{Frame, Live};
-use crate::shared::Shared;
+use crate::attempt::{self, Attempt, AttemptResult, SetupTarget};
+use crate::context::DirectorContext;
+use crate::engine_handle::{self, EngineMessage, SESSION_QUEUE_CAPACITY, SessionCommand};
+use crate::node_session::NodeSession;
+use crate::session::{FrameKind, RtspSession};
 
-/// Requests that wait behind one that is being answered, at most.
-const MOST_QUEUED: usize = 16;
-/// Frames passed on before they are flushed, at most.
-const BATCH: usize = 64;
-/// Between looks at what flowed, at idle time and at keep-alives.
-const TICK: Duration = Duration::from_secs(1);
+/// Maximum number of requests queued behind the one in progress.
+const MAX_QUEUED_REQUESTS: usize = 16;
+/// Maximum number of frames relayed before a flush.
+const MAX_FRAMES_PER_FLUSH: usize = 64;
+/// Interval of the checks for delivery, idle timeout and keep-alive.
+const TICK_INTERVAL: Duration = Duration::from_secs(1);
 
-struct Viewer {
-    shared: Arc<Shared>,
+struct ViewerConnection {
+    context: Arc<DirectorContext>,
     connection: Framed<TcpStream, Codec>,
     server: Server,
-    queue: VecDeque<Request>,
-    live: Option<Box<Live>>,
-    last_word: Instant,
+    requests: VecDeque<Request>,
+    session: Option<Box<RtspSession>>,
+    /// When the viewer's last packet was received.
+    last_received: Instant,
     draining: watch::Receiver<bool>,
-    /// Requests of ours to the viewer.
+    /// CSeq of the director's last request to the viewer.
     cseq: u32,
-    /// Frames that wait to be passed on.
-    frames: BytesMut,
+    /// Frames to relay, not written yet.
+    pending_frames: BytesMut,
 }
 
-/// The connection is at its end.
-struct Closed;
+/// The viewer's connection has ended or has to be closed.
+struct Disconnected;
 
-/// What a turn of the loop is about.
+/// An event of the connection's loop.
 enum Event {
-    Viewer(Option<Result<Packet, Fault>>),
-    Node(Option<Result<Packet, Fault>>),
-    Setup(Outcome<Box<NodeSide>>),
-    Order(Option<Order>),
-    Draining,
+    ViewerPacket(Option<Result<Packet, Fault>>),
+    NodePacket(Option<Result<Packet, Fault>>),
+    SetupEnded(AttemptResult<Box<NodeSession>>),
+    Command(Option<SessionCommand>),
+    DrainStarted,
     Tick,
 }
 
-pub async fn run(shared: Arc<Shared>, stream: TcpStream) {
-    let front = &shared.settings.front;
+/// Serves a viewer's connection until it ends.
+pub async fn run(context: Arc<DirectorContext>, stream: TcpStream) {
+    let front = &context.settings.front;
     let mut server = Server::new(front.session_timeout.as_secs() as u32, &front.clock_rates);
-    if let Some(users) = &shared.users {
-        let nonce = format!("{:016x}{:016x}", shared.random(), shared.random());
+    if let Some(users) = &context.users {
+        let nonce = format!("{:016x}{:016x}", context.random(), context.random());
         server = server.guarded(users.clone(), nonce);
     }
     let _ = stream.set_nodelay(true);
     let connection = Framed::new(stream, Codec::default());
-    let (last_word, draining) = (Instant::now(), shared.draining.subscribe());
-    let (queue, live, frames) = (VecDeque::new(), None, BytesMut::new());
-    let mut viewer = Viewer { shared, connection, server, queue, live, last_word, draining, cseq: 0, frames };
-    let mut tick = tokio::time::interval(TICK);
+    let (last_received, draining) = (Instant::now(), context.draining.subscribe());
+    let (requests, session, pending_frames) = (VecDeque::new(), None, BytesMut::new());
+    let mut viewer = ViewerConnection {
+        context,
+        connection,
+        server,
+        requests,
+        session,
+        last_received,
+        draining,
+        cseq: 0,
+        pending_frames,
+    };
+    let mut tick = tokio::time::interval(TICK_INTERVAL);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
-        let event = viewer.event(&mut tick).await;
-        if viewer.handle(event).await.is_err() {
+        let event = viewer.next_event(&mut tick).await;
+        if viewer.handle_event(event).await.is_err() {
             break;
         }
     }
     viewer.end_session().await;
 }
 
-impl Viewer {
-    async fn event(&mut self, tick: &mut tokio::time::Interval) -> Event {
-        let reads = self.queue.len() < MOST_QUEUED;
-        let Some(live) = &mut self.live else {
+impl ViewerConnection {
+    /// Waits for the next event. Commands of the engine come before all others.
+    async fn next_event(&mut self, tick: &mut tokio::time::Interval) -> Event {
+        let may_read = self.requests.len() < MAX_QUEUED_REQUESTS;
+        let Some(session) = &mut self.session else {
             return tokio::select! {
-                packet = self.connection.next() => Event::Viewer(packet),
+                packet = self.connection.next() => Event::ViewerPacket(packet),
                 _ = tick.tick() => Event::Tick,
             };
         };
         let attempt = async {
-            match &mut live.attempt {
-                Some(attempt) => attempt.ended().await,
+            match &mut session.attempt {
+                Some(attempt) => attempt.wait().await,
                 None => std::future::pending().await,
             }
         };
         let node = async {
-            match &mut live.node {
+            match &mut session.node {
                 Some(node) => node.next().await,
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
             biased;
-            order = live.orders.recv() => Event::Order(order),
-            outcome = attempt => Event::Setup(outcome),
+            command = session.commands.recv() => Event::Command(command),
+            result = attempt => Event::SetupEnded(result),
             _ = tick.tick() => Event::Tick,
-            Ok(()) = self.draining.changed() => Event::Draining,
-            packet = self.connection.next(), if reads => Event::Viewer(packet),
-            packet = node => Event::Node(packet),
+            Ok(()) = self.draining.changed() => Event::DrainStarted,
+            packet = self.connection.next(), if may_read => Event::ViewerPacket(packet),
+            packet = node => Event::NodePacket(packet),
         }
     }
 
-    async fn handle(&mut self, event: Event) -> Result<(), Closed> {
+    async fn handle_event(&mut self, event: Event) -> Result<(), Disconnected> {
         match event {
-            Event::Viewer(None) => return Err(Closed),
-            Event::Viewer(Some(Err(fault))) => {
-                debug!(%fault, "a viewer's connection is closed");
+            Event::ViewerPacket(None) => return Err(Disconnected),
+            Event::ViewerPacket(Some(Err(fault))) => {
+                debug!(%fault, "closing a viewer's connection after an invalid or failed read");
                 if let Some(status) = fault.status() {
-                    self.reply(messages::response(status, None)).await?;
+                    self.send_response(messages::response(status, None)).await?;
                 }
-                return Err(Closed);
+                return Err(Disconnected);
             }
-            Event::Viewer(Some(Ok(packet))) => {
-                self.last_word = Instant::now();
+            Event::ViewerPacket(Some(Ok(packet))) => {
+                self.last_received = Instant::now();
                 match packet {
-                    Packet::Request(request) => self.queue.push_back(request),
+                    Packet::Request(request) => self.requests.push_back(request),
                     Packet::Frame { channel, payload } => {
-                        if let (Some(live), Some(track)) =
-                            (&mut self.live, self.server.track_of_rtcp(channel))
+                        if let (Some(session), Some(track)) =
+                            (&mut self.session, self.server.track_of_rtcp(channel))
                         {
-                            live.reported(track, &payload);
+                            session.handle_viewer_rtcp(track, &payload);
                         }
                     }
-                    // To our REDIRECT; nothing hangs on it.
+                    // The viewer's response to a REDIRECT needs no handling.
                     Packet::Response(_) | Packet::Raw(_) => {}
                 }
             }
-            Event::Node(Some(Ok(packet))) => self.node_sent(packet).await?,
-            Event::Node(_) => self.node_lost(AttemptOutcome::Lost).await?,
-            Event::Setup(outcome) => self.setup_ended(outcome).await,
-            Event::Order(Some(order)) => self.order(order).await?,
-            Event::Order(None) => return Err(Closed),
-            Event::Draining => self.redirect().await?,
-            Event::Tick => self.tick().await?,
+            Event::NodePacket(Some(Ok(packet))) => self.relay_from_node(packet).await?,
+            Event::NodePacket(_) => self.node_lost(AttemptOutcome::Lost).await?,
+            Event::SetupEnded(result) => self.handle_setup_result(result).await,
+            Event::Command(Some(command)) => self.handle_command(command).await?,
+            Event::Command(None) => return Err(Disconnected),
+            Event::DrainStarted => self.redirect().await?,
+            Event::Tick => self.handle_tick().await?,
         }
         while !self.server.waits()
-            && let Some(request) = self.queue.pop_front()
+            && let Some(request) = self.requests.pop_front()
         {
-            self.request(request).await?;
+            self.handle_request(request).await?;
         }
         Ok(())
     }
 
-    /// Sends what has been fed; a viewer that takes nothing for too long is dropped.
-    async fn flush(&mut self) -> Result<(), Closed> {
-        let within = self.shared.settings.front.write_timeout;
+    /// Writes everything queued. A viewer that doesn't take it within the write timeout is disconnected.
+    async fn flush(&mut self) -> Result<(), Disconnected> {
+        let timeout = self.context.settings.front.write_timeout;
         let sent = async {
             self.connection.flush().await?;
-            if !self.frames.is_empty() {
-                let mut frames = std::mem::take(&mut self.frames);
-                self.connection.get_mut().write_all_buf(&mut frames).await?;
+            if !self.pending_frames.is_empty() {
+                let mut pending_frames = std::mem::take(&mut self.pending_frames);
+                self.connection.get_mut().write_all_buf(&mut pending_frames).await?;
             }
             Ok::<(), Fault>(())
         };
-        let sent = tokio::time::timeout(within, sent).await;
-        matches!(sent, Ok(Ok(()))).then_some(()).ok_or(Closed)
+        let sent = tokio::time::timeout(timeout, sent).await;
+        matches!(sent, Ok(Ok(()))).then_some(()).ok_or(Disconnected)
     }
 
-    async fn feed(&mut self, packet: Packet) -> Result<(), Closed> {
-        let within = self.shared.settings.front.write_timeout;
-        let fed = tokio::time::timeout(within, self.connection.feed(packet)).await;
-        matches!(fed, Ok(Ok(()))).then_some(()).ok_or(Closed)
+    /// Queues a packet for the next flush.
+    async fn feed(&mut self, packet: Packet) -> Result<(), Disconnected> {
+        let timeout = self.context.settings.front.write_timeout;
+        let fed = tokio::time::timeout(timeout, self.connection.feed(packet)).await;
+        matches!(fed, Ok(Ok(()))).then_some(()).ok_or(Disconnected)
     }
 
-    async fn reply(&mut self, mut response: Response) -> Result<(), Closed> {
+    async fn send_response(&mut self, mut response: Response) -> Result<(), Disconnected> {
         response.insert_header(headers::SERVER, "ashglade");
         self.feed(Packet::Response(response)).await?;
         self.flush().await
     }
 
-    async fn request(&mut self, request: Request) -> Result<(), Closed> {
-        let titles = &self.shared.settings.titles;
-        let shared = self.shared.clone();
+    /// Carries out one request of the viewer.
+    async fn handle_request(&mut self, request: Request) -> Result<(), Disconnected> {
+        let titles = &self.context.settings.titles;
+        let context = self.context.clone();
         let step = self.server.request(&request, |title| titles.get(title).map(|title| title.tracks));
-        let node = self.live.as_mut().and_then(|live| live.node.as_mut());
+        let node = self.session.as_mut().and_then(|session| session.node.as_mut());
         let sent = match (step, node) {
-            (Step::Reply(response), _) => return self.reply(response).await,
-            (Step::Ask(asked), _) => return self.ask(asked).await,
+            (Step::Reply(response), _) => return self.send_response(response).await,
+            (Step::Ask(requested), _) => return self.request_session(requested).await,
             (Step::Leave(response), _) => {
                 self.end_session().await;
-                return self.reply(response).await;
+                return self.send_response(response).await;
             }
-            // The node was lost, and that has not reached the state machine yet.
+            // The node is lost, but the state machine doesn't know that yet.
             (_, None) => {
                 let response = self.server.failed(StatusCode::BadGateway);
-                return self.reply(response).await;
+                return self.send_response(response).await;
             }
-            (Step::Track { track }, Some(node)) => node.setup(&shared, track).await,
-            (Step::Play { range }, Some(node)) => node.play(&shared, range).await,
-            (Step::Pause, Some(node)) => node.pause(&shared).await,
+            (Step::Track { track }, Some(node)) => node.setup(&context, track).await,
+            (Step::Play { range }, Some(node)) => node.play(&context, range).await,
+            (Step::Pause, Some(node)) => node.pause(&context).await,
         };
         match sent {
             Ok(()) => Ok(()),
@@ -213,46 +229,49 @@
         }
     }
 
-    async fn ask(&mut self, asked: Asked) -> Result<(), Closed> {
-        let shared = self.shared.clone();
-        let settings = &shared.settings;
-        let title = settings.titles.get(&asked.title);
-        let found = title.and_then(|t| Some((t, settings.group_of(asked.group.as_deref(), t)?)));
-        let Some((title, group)) = found else {
+    /// Requests a session from the engine.
+    async fn request_session(&mut self, requested: Asked) -> Result<(), Disconnected> {
+        let context = self.context.clone();
+        let settings = &context.settings;
+        let title = settings.titles.get(&requested.title);
+        let resolved = title.and_then(|t| Some((t, settings.group_of(requested.group.as_deref(), t)?)));
+        let Some((title, group)) = resolved else {
             let response = self.server.turned_away(StatusCode::NotFound, None);
-            return self.reply(response).await;
+            return self.send_response(response).await;
         };
-        let sess = shared.new_sess();
-        let top = asked.top.unwrap_or(u8::MAX);
+        let session_id = context.new_session_id();
+        let top_rung = requested.top.unwrap_or(u8::MAX);
         let peer = || self.connection.get_ref().peer_addr().map(|peer| peer.ip().to_string());
-        let element = |name: &str| asked.element(name).map(|value| value.to_string());
-        let want = shared.want(title, group, top, element, || peer().unwrap_or_default());
-        let (sender, orders) = mpsc::channel(ORDERS);
-        let input = Input::SessionRequested { session: sess, request: want };
-        shared.core.send(Command::Open { input, sess, orders: sender }).await;
-        self.live = Some(Box::new(Live::new(&shared, sess, asked, orders)));
+        let query_value = |name: &str| requested.element(name).map(|value| value.to_string());
+        let viewer_request =
+            context.viewer_request(title, group, top_rung, query_value, || peer().unwrap_or_default());
+        let (sender, commands) = mpsc::channel(SESSION_QUEUE_CAPACITY);
+        let input = Input::SessionRequested { session: session_id, request: viewer_request };
+        context.engine.send(EngineMessage::OpenSession { input, session_id, commands: sender }).await;
+        self.session = Some(Box::new(RtspSession::new(&context, session_id, requested, commands)));
         Ok(())
     }
 
-    async fn order(&mut self, order: Order) -> Result<(), Closed> {
-        let shared = self.shared.clone();
-        let Some(live) = &mut self.live else { return Ok(()) };
-        let sess = live.sess;
-        match order {
-            Order::Setup { setup, node, address, rung, decided, .. } => {
-                (live.rung, live.told) = (rung.0, rung.0);
-                match live.asked.rendition(address, rung.0) {
+    /// Carries out a command of the engine.
+    async fn handle_command(&mut self, command: SessionCommand) -> Result<(), Disconnected> {
+        let context = self.context.clone();
+        let Some(session) = &mut self.session else { return Ok(()) };
+        let session_id = session.id;
+        match command {
+            SessionCommand::SendSetup { setup, node, address, rung, decided_at, .. } => {
+                (session.rung, session.node_rung) = (rung.0, rung.0);
+                match session.requested.rendition(address, rung.0) {
                     Some(url) => {
                         let track = self.server.track();
-                        let wanted = Wanted { node, address, url, track };
-                        let send = |begins| attempt::send(shared, wanted, begins);
-                        live.attempt = Some(Attempt::start(sess, setup, decided, send));
+                        let target = SetupTarget { node, address, url, track };
+                        let send = |marker| attempt::send(context, target, marker);
+                        session.attempt = Some(Attempt::start(session_id, setup, decided_at, send));
                     }
                     None => {
-                        shared
-                            .core
-                            .tell(Input::SetupFailed {
-                                session: sess,
+                        context
+                            .engine
+                            .submit(Input::SetupFailed {
+                                session: session_id,
                                 setup,
                                 outcome: AttemptOutcome::Unsent,
                                 load: None,
@@ -262,57 +281,69 @@
                 }
                 Ok(())
             }
-            Order::Withdraw { setup, if_unsent } => {
+            SessionCommand::CancelSetup { setup, if_unsent } => {
                 let matches = |a: &mut Attempt<_>| a.setup == setup && !(if_unsent && a.written());
-                if let Some(attempt) = live.attempt.take_if(matches) {
-                    let outcome = attempt.withdraw().await;
-                    self.tell_outcome(setup, outcome).await;
+                if let Some(attempt) = session.attempt.take_if(matches) {
+                    let result = attempt.cancel().await;
+                    self.report_setup_result(setup, result).await;
                 }
                 Ok(())
             }
-            Order::Answer(SessionResponse::Plays { .. }) => {
-                let ssrc = live.ssrc(self.server.track());
-                info!(sess = sess.0, title = live.asked.title, rung = live.rung, "plays");
-                let name = format!("{:016x}", shared.random());
+            SessionCommand::Respond(SessionResponse::Plays { .. }) => {
+                let ssrc = session.ssrc(self.server.track());
+                info!(
+                    sess = session_id.0,
+                    title = session.requested.title,
+                    rung = session.rung,
+                    "session playing"
+                );
+                let name = format!("{:016x}", context.random());
                 let response = self.server.granted(name, ssrc);
-                self.reply(response).await
+                self.send_response(response).await
             }
-            Order::Answer(SessionResponse::Busy { retry_after, why }) => {
+            SessionCommand::Respond(SessionResponse::Busy { retry_after, why }) => {
                 let after = retry_after.map(|after| after.as_ms() / 1e3);
-                info!(sess = sess.0, title = live.asked.title, ?why, retry_after_s = after, "busy reply");
+                info!(
+                    sess = session_id.0,
+                    title = session.requested.title,
+                    ?why,
+                    retry_after_s = after,
+                    "busy reply"
+                );
                 let response = self.server.turned_away(StatusCode::ServiceUnavailable, after);
-                self.turned_away(response).await
+                self.reject(response).await
             }
-            Order::Answer(SessionResponse::TornDown) => {
-                info!(sess = sess.0, "torn down");
+            SessionCommand::Respond(SessionResponse::TornDown) => {
+                info!(sess = session_id.0, "request failed: a SETUP may have run at a node");
                 let response = self.server.turned_away(StatusCode::BadGateway, None);
-                self.turned_away(response).await
+                self.reject(response).await
             }
-            Order::Rung(rung) => {
-                live.rung = rung.0;
-                if self.server.state() == State::Playing { self.switch().await } else { Ok(()) }
+            SessionCommand::ChangeRung(rung) => {
+                session.rung = rung.0;
+                if self.server.state() == State::Playing { self.switch_rung().await } else { Ok(()) }
             }
-            Order::Release => {
-                if let Some(node) = live.node.take() {
-                    tokio::spawn(node.tear_down(shared));
+            SessionCommand::ReleaseSession => {
+                if let Some(node) = session.node.take() {
+                    tokio::spawn(node.tear_down(context));
                 }
                 Ok(())
             }
         }
     }
 
-    async fn turned_away(&mut self, response: Response) -> Result<(), Closed> {
-        self.reply(response).await?;
-        // A SETUP may still be out where the guard answered; its ending is told as well.
+    /// Sends the response to a rejected request, and ends the session.
+    async fn reject(&mut self, response: Response) -> Result<(), Disconnected> {
+        self.send_response(response).await?;
+        // A SETUP may still be in flight if the setup timeout caused the response. Its outcome is reported as well.
         self.end_session().await;
         Ok(())
     }
 
-    /// Sends the viewer to another director (RFC 2326, 10.10), if there is one to name.
-    async fn redirect(&mut self) -> Result<(), Closed> {
-        let Some(live) = &self.live else { return Ok(()) };
-        let Some(to) = &self.shared.settings.front.redirect else { return Ok(()) };
-        let Ok(url) = Url::parse(&format!("{to}/{}", live.asked.title)) else { return Ok(()) };
+    /// Redirects the viewer to the director named in the settings (RFC 2326, 10.10), if any.
+    async fn redirect(&mut self) -> Result<(), Disconnected> {
+        let Some(session) = &self.session else { return Ok(()) };
+        let Some(to) = &self.context.settings.front.redirect else { return Ok(()) };
+        let Ok(url) = Url::parse(&format!("{to}/{}", session.requested.title)) else { return Ok(()) };
         self.cseq += 1;
         let mut request = messages::request(Method::Redirect, &url, self.cseq);
         request.insert_header(headers::LOCATION, url.as_str());
@@ -320,48 +351,55 @@
         self.flush().await
     }
 
-    /// Brings the node to the rung that the engine wants.
-    async fn switch(&mut self) -> Result<(), Closed> {
-        let shared = self.shared.clone();
-        let Some(live) = &mut self.live else { return Ok(()) };
-        let (from, to) = (live.told, live.rung);
-        let Some(node) = live.node.as_mut().filter(|_| from != to) else { return Ok(()) };
-        let Some(url) = live.asked.rendition(node.address, to) else { return Ok(()) };
-        live.told = to;
-        match node.switch(&shared, from, url).await {
+    /// Asks the node to switch to the rung chosen by the engine.
+    async fn switch_rung(&mut self) -> Result<(), Disconnected> {
+        let context = self.context.clone();
+        let Some(session) = &mut self.session else { return Ok(()) };
+        let (from, to) = (session.node_rung, session.rung);
+        let Some(node) = session.node.as_mut().filter(|_| from != to) else { return Ok(()) };
+        let Some(url) = session.requested.rendition(node.address, to) else { return Ok(()) };
+        session.node_rung = to;
+        match node.switch(&context, from, url).await {
             Ok(()) => Ok(()),
             Err(_) => self.node_lost(AttemptOutcome::Lost).await,
         }
     }
 
-    async fn setup_ended(&mut self, outcome: Outcome<Box<NodeSide>>) {
-        let attempt = self.live.as_mut().and_then(|live| live.attempt.take());
+    /// Reports the result of the attempt that has ended.
+    async fn handle_setup_result(&mut self, result: AttemptResult<Box<NodeSession>>) {
+        let attempt = self.session.as_mut().and_then(|session| session.attempt.take());
         if let Some(attempt) = attempt {
-            self.tell_outcome(attempt.setup, outcome).await;
+            self.report_setup_result(attempt.setup, result).await;
         }
     }
 
-    async fn tell_outcome(&mut self, setup: SetupNumber, outcome: Outcome<Box<NodeSide>>) {
-        let Some(live) = &mut self.live else { return };
-        let (input, node) = attempt::told(live.sess, setup, outcome);
-        live.node = node.or(live.node.take());
-        self.shared.core.tell(input).await;
+    async fn report_setup_result(&mut self, setup: SetupNumber, result: AttemptResult<Box<NodeSession>>) {
+        let Some(session) = &mut self.session else { return };
+        let (input, node) = attempt::setup_input(session.id, setup, result);
+        session.node = node.or(session.node.take());
+        self.context.engine.submit(input).await;
     }
 
-    async fn node_sent(&mut self, first: Packet) -> Result<(), Closed> {
-        let mut packet = first;
-        for _ in 0..BATCH {
+    /// Relays the node's packet, and those already received behind it, to the viewer.
+    async fn relay_from_node(&mut self, first_packet: Packet) -> Result<(), Disconnected> {
+        let mut packet = first_packet;
+        for _ in 0..MAX_FRAMES_PER_FLUSH {
             match packet {
-                Packet::Raw(bytes) => self.frame(bytes).await?,
+                Packet::Raw(bytes) => self.relay_frame(bytes).await?,
                 Packet::Response(response) => {
                     self.flush().await?;
-                    self.answered(response).await?;
+                    self.handle_node_response(response).await?;
                     break;
                 }
-                // Nodes ask nothing of a front that it would have to answer (RFC 2326, 10.1 aside).
+                // Nodes send no requests that need a response, OPTIONS (RFC 2326, 10.1) aside.
                 Packet::Request(_) | Packet::Frame { .. } => {}
             }
-            match self.live.as_mut().and_then(|live| live.node.as_mut()).and_then(|node| node.at_hand()) {
+            match self
+                .session
+                .as_mut()
+                .and_then(|session| session.node.as_mut())
+                .and_then(|node| node.try_next())
+            {
                 Some(Some(Ok(next))) => packet = next,
                 Some(_) => {
                     self.flush().await?;
@@ -373,63 +411,64 @@
         self.flush().await
     }
 
-    /// Makes a frame the viewer's and puts it behind those that wait to be passed on. They lie side by side where the
-    /// node sent them so, and are then joined without being copied.
-    async fn frame(&mut self, mut bytes: BytesMut) -> Result<(), Closed> {
-        let now = self.shared.clock.micros();
-        let Some(live) = &mut self.live else { return Ok(()) };
-        let frame = live.frame(bytes[1], &mut bytes[FRAME_HEADER..], now);
+    /// Rewrites a frame for the viewer and queues it. Frames that are adjacent in the read buffer are joined without
+    /// copying.
+    async fn relay_frame(&mut self, mut bytes: BytesMut) -> Result<(), Disconnected> {
+        let now = self.context.clock.micros();
+        let Some(session) = &mut self.session else { return Ok(()) };
+        let frame = session.rewrite_frame(bytes[1], &mut bytes[FRAME_HEADER..], now);
         let channels = |track| self.server.channels(track);
-        let (channel, over) = match frame {
-            Frame::Rtp { track } => (channels(track).map(|c| c.rtp), false),
-            Frame::Rtcp { track } => (channels(track).map(|c| c.rtcp), false),
-            Frame::Bye { track } => (channels(track).map(|c| c.rtcp), true),
-            Frame::Stray => (None, false),
+        let (channel, stream_ended) = match frame {
+            FrameKind::Rtp { track } => (channels(track).map(|c| c.rtp), false),
+            FrameKind::Rtcp { track } => (channels(track).map(|c| c.rtcp), false),
+            FrameKind::Bye { track } => (channels(track).map(|c| c.rtcp), true),
+            FrameKind::Unknown => (None, false),
         };
         if let Some(channel) = channel {
             bytes[1] = channel;
-            self.frames.unsplit(bytes);
+            self.pending_frames.unsplit(bytes);
         }
-        if over { self.played_out().await } else { Ok(()) }
+        if stream_ended { self.end_played_session().await } else { Ok(()) }
     }
 
-    /// The node ended the stream: the session has played.
-    async fn played_out(&mut self) -> Result<(), Closed> {
+    /// Ends a session whose stream the node has ended: it has played to its end.
+    async fn end_played_session(&mut self) -> Result<(), Disconnected> {
         self.flush().await?;
-        let Some(mut live) = self.live.take() else { return Ok(()) };
-        info!(sess = live.sess.0, "played out");
-        self.shared
-            .core
-            .tell(Input::SessionEnded { session: live.sess, outcome: AttemptOutcome::Played })
+        let Some(mut session) = self.session.take() else { return Ok(()) };
+        info!(sess = session.id.0, "session played to its end");
+        self.context
+            .engine
+            .submit(Input::SessionEnded { session: session.id, outcome: AttemptOutcome::Played })
             .await;
-        if let Some(node) = live.node.take() {
-            tokio::spawn(node.tear_down(self.shared.clone()));
+        if let Some(node) = session.node.take() {
+            tokio::spawn(node.tear_down(self.context.clone()));
         }
-        self.over(&live).await
+        self.session_ended(&session).await
     }
 
-    async fn answered(&mut self, response: Response) -> Result<(), Closed> {
-        let shared = self.shared.clone();
-        let Some(live) = &mut self.live else { return Ok(()) };
-        let Some(node) = &mut live.node else { return Ok(()) };
-        if let Some(load) = attempt::load(&response) {
+    /// Handles the node's response to a request of the session.
+    async fn handle_node_response(&mut self, response: Response) -> Result<(), Disconnected> {
+        let context = self.context.clone();
+        let Some(session) = &mut self.session else { return Ok(()) };
+        let Some(node) = &mut session.node else { return Ok(()) };
+        if let Some(load) = attempt::load_report(&response) {
             let node = node.node;
-            shared.core.tell(Input::NodeLoad { node, load }).await;
+            context.engine.submit(Input::NodeLoad { node, load }).await;
         }
         let reply = match node.client.answered(&response) {
-            client::Answer::Done(Purpose::Setup { track }) => self.server.track_granted(live.ssrc(track)),
+            client::Answer::Done(Purpose::Setup { track }) => self.server.track_granted(session.ssrc(track)),
             client::Answer::Done(Purpose::Play) => {
-                live.plays(shared.clock.micros());
+                session.start_playing(context.clock.micros());
                 let range = messages::header(&response, &headers::RANGE);
-                let info = messages::header(&response, &headers::RTP_INFO).map(|info| live.rtp_info(info));
+                let info = messages::header(&response, &headers::RTP_INFO).map(|info| session.rtp_info(info));
                 let reply = self.server.plays(range, info.as_deref());
-                self.reply(reply).await?;
-                return self.switch().await;
+                self.send_response(reply).await?;
+                return self.switch_rung().await;
             }
             client::Answer::Done(Purpose::Pause) => self.server.paused(),
             client::Answer::Refused(Purpose::Switch { from }, _) => {
-                live.told = from;
-                shared.core.tell(Input::RungUnchanged { session: live.sess, rung: Rung(from) }).await;
+                session.node_rung = from;
+                context.engine.submit(Input::RungUnchanged { session: session.id, rung: Rung(from) }).await;
                 return Ok(());
             }
             client::Answer::Refused(Purpose::Setup { .. } | Purpose::Play | Purpose::Pause, status) => {
@@ -437,80 +476,82 @@
             }
             _ => return Ok(()),
         };
-        self.reply(reply).await
+        self.send_response(reply).await
     }
 
-    /// The node's connection is gone, or it doesn't answer: the session is over, the viewer's connection isn't.
-    async fn node_lost(&mut self, how: AttemptOutcome) -> Result<(), Closed> {
-        let Some(live) = &mut self.live else { return Ok(()) };
-        let Some(node) = live.node.take() else { return Ok(()) };
-        info!(sess = live.sess.0, ?how, node = %node.address, "broken");
-        node.lose(&self.shared).await;
-        self.shared.core.tell(Input::SessionEnded { session: live.sess, outcome: how }).await;
-        let Some(live) = self.live.take() else { return Ok(()) };
+    /// Ends a session whose node is lost or doesn't respond. The viewer's connection stays open.
+    async fn node_lost(&mut self, how: AttemptOutcome) -> Result<(), Disconnected> {
+        let Some(session) = &mut self.session else { return Ok(()) };
+        let Some(node) = session.node.take() else { return Ok(()) };
+        info!(sess = session.id.0, ?how, node = %node.address, "session lost: the node's connection failed or the node didn't respond");
+        node.abandon(&self.context).await;
+        self.context.engine.submit(Input::SessionEnded { session: session.id, outcome: how }).await;
+        let Some(session) = self.session.take() else { return Ok(()) };
         if self.server.waits() {
             let reply = self.server.failed(StatusCode::BadGateway);
-            self.reply(reply).await?;
+            self.send_response(reply).await?;
         } else {
-            for track in 0..self.shared.settings.front.clock_rates.len() as u8 {
+            for track in 0..self.context.settings.front.clock_rates.len() as u8 {
                 if let Some(channels) = self.server.channels(track) {
-                    let payload = rtcp::bye(live.ssrc(track));
+                    let payload = rtcp::bye(session.ssrc(track));
                     self.feed(Packet::Frame { channel: channels.rtcp, payload }).await?;
                 }
             }
             self.flush().await?;
         }
-        self.over(&live).await
+        self.session_ended(&session).await
     }
 
-    /// The session is no longer in hand; the connection is as new.
-    async fn over(&mut self, live: &Live) -> Result<(), Closed> {
+    /// Resets the connection after its session has ended, so that the viewer can request another.
+    async fn session_ended(&mut self, session: &RtspSession) -> Result<(), Disconnected> {
         self.server.ended();
-        self.shared.core.send(Command::Close(live.sess)).await;
+        self.context.engine.send(EngineMessage::CloseSession(session.id)).await;
         Ok(())
     }
 
-    async fn tick(&mut self) -> Result<(), Closed> {
-        let shared = self.shared.clone();
-        let front = &shared.settings.front;
-        if self.last_word.elapsed() > front.session_timeout && !self.server.waits() {
-            return Err(Closed);
+    /// Checks the idle timeout and overdue responses, reports delivery and sends keep-alives.
+    async fn handle_tick(&mut self) -> Result<(), Disconnected> {
+        let context = self.context.clone();
+        let front = &context.settings.front;
+        if self.last_received.elapsed() > front.session_timeout && !self.server.waits() {
+            return Err(Disconnected);
         }
-        let Some(live) = &mut self.live else { return Ok(()) };
-        if live.node.as_ref().is_some_and(|node| node.overdue(&shared)) {
+        let Some(session) = &mut self.session else { return Ok(()) };
+        if session.node.as_ref().is_some_and(|node| node.response_overdue(&context)) {
             return self.node_lost(AttemptOutcome::Silent).await;
         }
         if self.server.state() == State::Playing
             && let Some(share) =
-                live.share(shared.clock.micros(), |track| self.server.channels(track).is_some())
+                session.delivered_share(context.clock.micros(), |track| self.server.channels(track).is_some())
         {
-            shared.core.tell(Input::SessionDelivery { session: live.sess, share }).await;
+            context.engine.submit(Input::SessionDelivery { session: session.id, share }).await;
         }
-        let Some(node) = &mut live.node else { return Ok(()) };
-        if live.kept_alive.elapsed() >= front.keep_alive {
-            live.kept_alive = Instant::now();
-            if node.keep_alive(&shared).await.is_err() {
+        let Some(node) = &mut session.node else { return Ok(()) };
+        if session.last_keep_alive.elapsed() >= front.keep_alive {
+            session.last_keep_alive = Instant::now();
+            if node.keep_alive(&context).await.is_err() {
                 return self.node_lost(AttemptOutcome::Lost).await;
             }
         }
         Ok(())
     }
 
-    /// The viewer ends its session or is gone; whatever is out for it is ended and told.
+    /// Ends the session because the viewer ended it or has disconnected: cancels its SETUP, tears it down at its node
+    /// and reports both to the engine.
     async fn end_session(&mut self) {
-        let Some(mut live) = self.live.take() else { return };
-        let (core, sess) = (&self.shared.core, live.sess);
-        core.tell(Input::ViewerLeft { session: sess }).await;
-        if let Some(attempt) = live.attempt.take() {
+        let Some(mut session) = self.session.take() else { return };
+        let (engine, session_id) = (&self.context.engine, session.id);
+        engine.submit(Input::ViewerLeft { session: session_id }).await;
+        if let Some(attempt) = session.attempt.take() {
             let setup = attempt.setup;
-            let (input, node) = attempt::told(sess, setup, attempt.withdraw().await);
-            live.node = node.or(live.node.take());
-            core.tell(input).await;
+            let (input, node) = attempt::setup_input(session_id, setup, attempt.cancel().await);
+            session.node = node.or(session.node.take());
+            engine.submit(input).await;
         }
-        if let Some(node) = live.node {
-            tokio::spawn(node.tear_down(self.shared.clone()));
+        if let Some(node) = session.node {
+            tokio::spawn(node.tear_down(self.context.clone()));
         }
-        orders::close(core, sess, &mut live.orders).await;
+        engine_handle::close_session(engine, session_id, &mut session.commands).await;
         self.server.ended();
     }
 }
--- a/crates/director/tests/hls.rs
+++ b/crates/director/tests/hls.rs
@@ -1,7 +1,7 @@
-//! The second front on loopback, against stand-in nodes: what a player sees of tokens, of its rung, of a node that is
-//! lost between two segments, and of a director that doesn't know it.
+//! The HLS front on loopback, against stand-in nodes. Checks what a player sees of signed URIs, of its rung, of a node
+//! lost between two segments, and of a director that doesn't know its session.
 
-mod stage;
+mod support;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,10 +12,10 @@
 use ashglade_standin::{Fleet, Log, Spec};
 use expect_test::expect;
 use hyper::StatusCode;
-use stage::director_of;
+use support::director_of;
 
-/// Nodes whose link carries so much, in kB a second; rungs are of 10 and 20.
-async fn nodes(count: usize, link: f64) -> (Arc<Fleet>, Log, tempfile::TempDir) {
+/// Starts `count` nodes, each with a link of `link` kB/s. The rungs have 10 and 20 kB/s.
+async fn start_nodes(count: usize, link: f64) -> (Arc<Fleet>, Log, tempfile::TempDir) {
     let folder = tempfile::tempdir().unwrap();
     let plan = Plan {
         groups: Vec::new(),
@@ -31,21 +31,22 @@
     };
     let log = Log::create(&folder.path().join("traffic.jsonl"), &plan).unwrap();
     let spec = |i| Spec { name: format!("n{i}"), rack: 0, places: 50, link, guard: true };
-    let cold = ColdPace { from: 1.0, warm_after: 1e-3, multiple: 1e3, span: 1.0 };
+    let cold_pace = ColdPace { from: 1.0, warm_after: 1e-3, multiple: 1e3, span: 1.0 };
     let specs = (0..count).map(spec).collect();
     let fleet =
-        Fleet::start(specs, vec![f64::INFINITY], vec![10.0, 20.0], cold, 1, log.clone()).await.unwrap();
+        Fleet::start(specs, vec![f64::INFINITY], vec![10.0, 20.0], cold_pace, 1, log.clone()).await.unwrap();
     (fleet, log, folder)
 }
 
 async fn get(http: &mut Http, path: &str) -> (StatusCode, String) {
-    let got = tokio::time::timeout(Duration::from_secs(10), http.get(path)).await.expect("an answer in time");
-    let (status, _, body) = got.expect("an answer");
+    let response =
+        tokio::time::timeout(Duration::from_secs(10), http.get(path)).await.expect("a response in time");
+    let (status, _, body) = response.expect("a response");
     (status, String::from_utf8_lossy(&body).into_owned())
 }
 
-/// Without what differs from run to run: tokens, signatures, numbers of segments.
-fn plain(playlist: &str) -> String {
+/// Replaces what differs from run to run: tokens, signatures, and the numbers of segments.
+fn normalize(playlist: &str) -> String {
     let line = |line: &str| -> String {
         let mut parts: Vec<String> = line.split('/').map(str::to_string).collect();
         if parts.len() > 3 && parts[0].is_empty() {
@@ -62,17 +63,17 @@
     playlist.lines().filter(|l| !l.contains("SEQUENCE")).take(6).map(line).collect()
 }
 
-fn count(log: &Log, what: fn(&What) -> bool) -> usize {
-    log.sights().iter().filter(|sight| what(&sight.what)).count()
+fn count_events(log: &Log, matches: fn(&What) -> bool) -> usize {
+    log.sights().iter().filter(|sight| matches(&sight.what)).count()
 }
 
-fn setup(what: &What) -> bool {
-    matches!(what, What::Setup { .. })
+fn is_setup(event: &What) -> bool {
+    matches!(event, What::Setup { .. })
 }
 
 #[tokio::test]
-async fn a_player_gets_playlists_of_its_own_and_segments_through_the_director() {
-    let (fleet, log, _folder) = nodes(1, 1000.0).await;
+async fn a_player_gets_playlists_with_signed_uris_and_segments_through_the_director() {
+    let (fleet, log, _folder) = start_nodes(1, 1000.0).await;
     let director = director_of(&fleet.nodes.iter().map(|n| (n.address, n.http)).collect::<Vec<_>>()).await;
     let mut http = Http::open(director.http).await.unwrap();
     let (status, master) = get(&mut http, "/t/index.m3u8?viewer=7.0&group=lesson").await;
@@ -85,7 +86,7 @@
         #EXT-X-STREAM-INF:BANDWIDTH=160000
         /t/TOKEN/m1/v1/index.m3u8?viewer=7.0
     "#]]
-    .assert_eq(&plain(&master));
+    .assert_eq(&normalize(&master));
     let variants = uris(master.as_bytes());
     let (_, media) = get(&mut http, &variants[1]).await;
     expect![[r#"
@@ -96,24 +97,24 @@
         /t/TOKEN/p#/v#/##########.ts?viewer=#.#
         #EXTINF:1.0,
     "#]]
-    .assert_eq(&plain(&media));
+    .assert_eq(&normalize(&media));
     let segment = uris(media.as_bytes())[0].clone();
     let (status, _, bytes) = http.get(&segment).await.unwrap();
     assert_eq!((status, bytes.len()), (StatusCode::OK, 20_000));
     let (status, _, bytes) = http.get_with(&segment, Some("bytes=100-299")).await.unwrap();
     assert_eq!((status, bytes.len()), (StatusCode::PARTIAL_CONTENT, 200));
-    // A hundred reloads at once cost the node nothing more than one: the director keeps a live playlist.
+    // A hundred immediate reloads cost the node no more than one: the director caches live playlists.
     for _ in 0..100 {
         assert_eq!(get(&mut http, &variants[1]).await.0, StatusCode::OK);
     }
-    // What was not given to it is not given, and nothing of it is a second SETUP.
-    let mut told = String::new();
-    let other = segment.replace("/t/", "/two/");
-    let lower = segment.replace("/v1/", "/v0/");
+    // URIs that the player wasn't given are refused, and none of them causes a second SETUP.
+    let mut responses = String::new();
+    let other_title = segment.replace("/t/", "/two/");
+    let other_variant = segment.replace("/v1/", "/v0/");
     let forged = segment.replacen("/t/A", "/t/B", 1);
     for (name, path) in [
-        ("another title", other.as_str()),
-        ("another variant's segment", lower.as_str()),
+        ("another title", other_title.as_str()),
+        ("another variant's segment", other_variant.as_str()),
         ("a forged token", forged.as_str()),
         ("no token", "/t/x/p0-x/1.ts"),
         ("half a path", "/t/x"),
@@ -122,7 +123,7 @@
         ("no rung", "/t/index.m3u8?top=high"),
     ] {
         let (status, body) = get(&mut http, path).await;
-        told += &format!("{name}: {} {body}", status.as_u16());
+        responses += &format!("{name}: {} {body}", status.as_u16());
     }
     expect![[r#"
         another title: 403 the token is for another title
@@ -134,79 +135,79 @@
         no group: 404 there is no such service group
         no rung: 400 top: a rung's number is wanted
     "#]]
-    .assert_eq(&told);
-    assert_eq!(count(&log, setup), 1);
+    .assert_eq(&responses);
+    assert_eq!(count_events(&log, is_setup), 1);
 }
 
 #[tokio::test]
-async fn a_node_lost_between_two_segments_is_followed_by_another_with_one_setup_at_a_time() {
-    let (fleet, log, _folder) = nodes(2, 1000.0).await;
+async fn a_node_lost_between_two_segments_is_replaced_with_one_setup_at_a_time() {
+    let (fleet, log, _folder) = start_nodes(2, 1000.0).await;
     let director = director_of(&fleet.nodes.iter().map(|n| (n.address, n.http)).collect::<Vec<_>>()).await;
     let mut http = Http::open(director.http).await.unwrap();
     let (_, master) = get(&mut http, "/t/index.m3u8?viewer=1.0&group=lesson").await;
     let variant = uris(master.as_bytes()).pop().unwrap();
     assert_eq!(get(&mut http, &variant).await.0, StatusCode::OK);
-    let at = |log: &Log| {
-        let name = |what: &What| match what {
+    let setup_nodes = |log: &Log| {
+        let name = |event: &What| match event {
             What::Setup { node, .. } => Some(node.clone()),
             _ => None,
         };
         log.sights().iter().filter_map(|sight| name(&sight.what)).collect::<Vec<String>>()
     };
-    let first = at(&log).pop().unwrap();
+    let first = setup_nodes(&log).pop().unwrap();
     fleet.stop(usize::from(first == "n1"));
-    // A playlist that is kept may be given once more; then the next one comes from the other node.
-    let mut now = variant.clone();
+    // The cached playlist may be returned once more. The next one comes from the other node.
+    let mut playlist_uri = variant.clone();
     for _ in 0..200 {
-        let (status, media) = get(&mut http, &now).await;
+        let (status, media) = get(&mut http, &playlist_uri).await;
         assert!(matches!(status, StatusCode::OK | StatusCode::SERVICE_UNAVAILABLE), "{status} {media}");
-        if at(&log).len() == 2 {
+        if setup_nodes(&log).len() == 2 {
             let segment = uris(media.as_bytes()).pop().unwrap();
             assert_eq!(get(&mut http, &segment).await.0, StatusCode::OK);
             break;
         }
-        now = variant.clone();
+        playlist_uri = variant.clone();
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    let nodes = at(&log);
+    let nodes = setup_nodes(&log);
     assert!(nodes.len() == 2 && nodes[0] != nodes[1], "{nodes:?}");
-    // One that must not be set up again is over instead.
+    // A session that must not be set up again ends instead.
     let (_, master) = get(&mut http, "/t/index.m3u8?viewer=2.0&group=event").await;
     let variant = uris(master.as_bytes()).pop().unwrap();
     fleet.stop(usize::from(first != "n1"));
     let (status, body) = get(&mut http, &variant).await;
     assert_eq!((status, body.as_str()), (StatusCode::GONE, "the session is over\n"));
-    assert_eq!(at(&log).len(), 3);
+    assert_eq!(setup_nodes(&log).len(), 3);
 }
 
 #[tokio::test]
-async fn a_token_of_a_director_that_is_gone_is_told_plainly_and_sets_nothing_up() {
-    let (fleet, log, _folder) = nodes(1, 1000.0).await;
+async fn a_token_of_another_director_gets_410_and_sets_nothing_up() {
+    let (fleet, log, _folder) = start_nodes(1, 1000.0).await;
     let addresses: Vec<_> = fleet.nodes.iter().map(|n| (n.address, n.http)).collect();
-    let (one, other) = (director_of(&addresses).await, director_of(&addresses).await);
-    let mut http = Http::open(one.http).await.unwrap();
+    let (first_director, second_director) = (director_of(&addresses).await, director_of(&addresses).await);
+    let mut http = Http::open(first_director.http).await.unwrap();
     let (_, master) = get(&mut http, "/t/index.m3u8?viewer=1.0").await;
-    // The same keys: signed here as far as it can tell, and not known.
-    let mut next = Http::open(other.http).await.unwrap();
-    let told = get(&mut next, &uris(master.as_bytes())[0]).await;
+    // The directors share their keys: the token is valid, but its session isn't known.
+    let mut second_http = Http::open(second_director.http).await.unwrap();
+    let response = get(&mut second_http, &uris(master.as_bytes())[0]).await;
     expect![[r#"(410, "the session is over, or was another director's; begin anew\n")"#]]
-        .assert_eq(&format!("{told:?}"));
-    assert_eq!(count(&log, setup), 1);
+        .assert_eq(&format!("{response:?}"));
+    assert_eq!(count_events(&log, is_setup), 1);
 }
 
 #[tokio::test]
-async fn a_session_counts_against_room_until_its_player_is_quiet() {
-    // Room for one at the lower rung.
-    let (fleet, _log, _folder) = nodes(1, 10.0).await;
+async fn a_session_takes_capacity_until_its_player_is_idle() {
+    // Capacity for one session at the lower rung.
+    let (fleet, _log, _folder) = start_nodes(1, 10.0).await;
     let director = director_of(&fleet.nodes.iter().map(|n| (n.address, n.http)).collect::<Vec<_>>()).await;
     let mut http = Http::open(director.http).await.unwrap();
     let (status, master) = get(&mut http, "/t/index.m3u8?viewer=1.0&top=0").await;
     assert_eq!(status, StatusCode::OK);
-    // The rung caps what is offered.
-    let offered = uris(master.as_bytes()).len();
-    let (status, after, _) = http.get("/t/index.m3u8?viewer=2.0").await.unwrap();
-    assert_eq!((offered, status, after.is_some()), (1, StatusCode::SERVICE_UNAVAILABLE, true));
-    // Nothing is asked of the first any longer: it ends by itself, and then there is room.
+    // The playlist offers no variant above the session's rung.
+    let variant_count = uris(master.as_bytes()).len();
+    let (status, retry_after, _) = http.get("/t/index.m3u8?viewer=2.0").await.unwrap();
+    assert_eq!((variant_count, status, retry_after.is_some()), (1, StatusCode::SERVICE_UNAVAILABLE, true));
+    // The first session gets no more requests, so it ends by its idle timeout and frees the capacity.
     for _ in 0..100 {
         tokio::time::sleep(Duration::from_millis(200)).await;
         let (status, ..) = http.get("/t/index.m3u8?viewer=3.0").await.unwrap();
@@ -214,13 +215,13 @@
             return;
         }
     }
-    panic!("no room after the quiet");
+    panic!("no capacity was freed by the idle timeout");
 }
 
 #[tokio::test]
-async fn slow_and_large_heads_don_t_hold_the_front() {
+async fn slow_and_large_request_headers_don_t_block_the_front() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    let (fleet, _log, _folder) = nodes(1, 1000.0).await;
+    let (fleet, _log, _folder) = start_nodes(1, 1000.0).await;
     let director = director_of(&fleet.nodes.iter().map(|n| (n.address, n.http)).collect::<Vec<_>>()).await;
     let mut slow = tokio::net::TcpStream::connect(director.http).await.unwrap();
     slow.write_all(b"GET /t/index.m3u8 HTTP/1.1\r\nhost: x\r\n").await.unwrap();
@@ -229,12 +230,20 @@
     let _ = large.write_all(head.as_bytes()).await;
     let mut http = Http::open(director.http).await.unwrap();
     assert_eq!(get(&mut http, "/t/index.m3u8?viewer=1.0").await.0, StatusCode::OK);
-    let mut answer = Vec::new();
-    let read = tokio::time::timeout(Duration::from_secs(10), large.read_to_end(&mut answer));
-    let _ = read.await.expect("it is closed");
-    assert!(answer.is_empty() || answer.starts_with(b"HTTP/1.1 431"), "{}", String::from_utf8_lossy(&answer));
-    answer.clear();
-    let read = tokio::time::timeout(Duration::from_secs(10), slow.read_to_end(&mut answer));
-    let _ = read.await.expect("it is closed");
-    assert!(answer.is_empty() || answer.starts_with(b"HTTP/1.1 408"), "{}", String::from_utf8_lossy(&answer));
+    let mut response = Vec::new();
+    let read = tokio::time::timeout(Duration::from_secs(10), large.read_to_end(&mut response));
+    let _ = read.await.expect("the connection is closed");
+    assert!(
+        response.is_empty() || response.starts_with(b"HTTP/1.1 431"),
+        "{}",
+        String::from_utf8_lossy(&response)
+    );
+    response.clear();
+    let read = tokio::time::timeout(Duration::from_secs(10), slow.read_to_end(&mut response));
+    let _ = read.await.expect("the connection is closed");
+    assert!(
+        response.is_empty() || response.starts_with(b"HTTP/1.1 408"),
+        "{}",
+        String::from_utf8_lossy(&response)
+    );
 }
--- a/crates/director/tests/layers.rs
+++ b/crates/director/tests/layers.rs
@@ -1,13 +1,14 @@
-//! The director's files use each other one way: starting and stopping on top, then fronts and errands, then connections to
-//! nodes, then what they share; the task that owns the engine, and the words to it, know none of them.
+//! Guards against cyclic dependencies between the director's modules. `serve` is at the top, then come the fronts and
+//! the requests to nodes, then the connections to nodes, then the shared context. The engine's task and its handle
+//! depend on none of these.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// By file, or folder: the others that it names.
-fn uses() -> BTreeMap<String, BTreeSet<String>> {
+/// Returns, for each file or folder of `src`, the other ones that it names.
+fn module_uses() -> BTreeMap<String, BTreeSet<String>> {
     let src = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
-    let mut uses: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
+    let mut module_uses: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
     let mut folders = vec![src.clone()];
     while let Some(folder) = folders.pop() {
         for entry in std::fs::read_dir(&folder).unwrap() {
@@ -19,48 +20,48 @@
             let name = path.strip_prefix(&src).unwrap().iter().next().unwrap().to_string_lossy();
             let name = name.trim_end_matches(".rs").to_string();
             let text = std::fs::read_to_string(&path).unwrap();
-            // A group, as in `use crate::{a, b};`, names several.
+            // A group such as `use crate::{a, b};` names several modules.
             let named = text.split("crate::").skip(1).flat_map(|after| match after.strip_prefix('{') {
                 Some(group) => group.split('}').next().unwrap_or_default().split(',').collect::<Vec<_>>(),
                 None => vec![after],
             });
-            let first = |word: &str| {
-                let word = word.trim();
-                word.split(|c: char| !c.is_alphanumeric() && c != '_').next().unwrap_or_default().to_string()
+            let module_name = |text: &str| {
+                let text = text.trim();
+                text.split(|c: char| !c.is_alphanumeric() && c != '_').next().unwrap_or_default().to_string()
             };
             let named: BTreeSet<String> =
-                named.map(first).filter(|other| *other != name && !other.is_empty()).collect();
-            uses.entry(name).or_default().extend(named);
+                named.map(module_name).filter(|other| *other != name && !other.is_empty()).collect();
+            module_uses.entry(name).or_default().extend(named);
         }
     }
-    let files: BTreeSet<String> = uses.keys().cloned().collect();
-    uses.values_mut().for_each(|named| named.retain(|other| files.contains(other)));
-    uses
+    let modules: BTreeSet<String> = module_uses.keys().cloned().collect();
+    module_uses.values_mut().for_each(|named| named.retain(|other| modules.contains(other)));
+    module_uses
 }
 
 #[test]
-fn arrows_between_the_files_go_one_way() {
-    let mut left = uses();
-    left.remove("lib");
+fn modules_have_no_cyclic_dependencies() {
+    let mut remaining = module_uses();
+    remaining.remove("lib");
     let mut layers = String::new();
-    while !left.is_empty() {
-        let lowest: Vec<String> = left
+    while !remaining.is_empty() {
+        let lowest: Vec<String> = remaining
             .iter()
-            .filter(|(_, named)| named.iter().all(|o| !left.contains_key(o)))
-            .map(|(n, _)| n.clone())
+            .filter(|(_, named)| named.iter().all(|other| !remaining.contains_key(other)))
+            .map(|(name, _)| name.clone())
             .collect();
-        assert!(!lowest.is_empty(), "a circle among {left:?}");
-        lowest.iter().for_each(|name| drop(left.remove(name)));
+        assert!(!lowest.is_empty(), "a dependency cycle among {remaining:?}");
+        lowest.iter().for_each(|name| drop(remaining.remove(name)));
         layers = format!("{}\n{layers}", lowest.join(" "));
     }
     expect_test::expect![[r#"
         serve
-        errands viewer
+        node_requests viewer
         hls probe session
         attempt
-        lists node owed
-        core shared
-        files orders pool
+        node_lists node_session teardown
+        context engine_task
+        engine_handle files pool
     "#]]
     .assert_eq(&layers);
 }
--- a/crates/director/tests/stage/mod.rs
+++ b/crates/director/tests/support/mod.rs
@@ -1,9 +1,10 @@
-//! A director in this process, with settings and a box list in a folder of its own.
+//! Runs a director in the test's process, with settings and a node list in a temporary folder.
 
 use std::net::SocketAddr;
 
 use tokio::net::{TcpSocket, TcpStream};
 
+/// Settings of a director, up to the listener of the `front` section.
 pub const SETTINGS: &str = r#"
 zone: "a"
 model { name: "m" places: 50 }
@@ -23,44 +24,49 @@
   list_poll_ms: 20
 "#;
 
-/// A director, with its folder. Each test file uses one of its fronts.
+/// A running director. Each test file uses one of its fronts, RTSP or HLS.
 #[allow(dead_code)]
 pub struct Director {
+    /// Address of the RTSP listener.
     pub address: SocketAddr,
-    /// Where it serves HLS.
+    /// Address of the HLS listener.
     pub http: SocketAddr,
+    /// Holds the settings and the node list; deleted when dropped.
     pub folder: tempfile::TempDir,
-    pub held: [TcpSocket; 2],
+    /// Sockets that reserve the listeners' ports.
+    pub reserved_sockets: [TcpSocket; 2],
 }
 
-/// Nodes that speak RTSP alone.
+/// Starts a director with nodes that serve RTSP only.
 #[allow(dead_code)]
 pub async fn director(nodes: &[SocketAddr]) -> Director {
     director_of(&nodes.iter().map(|&node| (node, node)).collect::<Vec<_>>()).await
 }
 
-/// Bound and not listened at, a port is the director's alone.
-fn hold() -> TcpSocket {
-    let held = TcpSocket::new_v4().unwrap();
-    held.set_reuseaddr(true).unwrap();
-    held.bind("127.0.0.1:0".parse().unwrap()).unwrap();
-    held
+/// Reserves a port by a socket that is bound but doesn't listen: no other process gets it, while the director can still
+/// bind it with SO_REUSEADDR.
+fn reserve_port() -> TcpSocket {
+    let socket = TcpSocket::new_v4().unwrap();
+    socket.set_reuseaddr(true).unwrap();
+    socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
+    socket
 }
 
-/// Two ports that nobody else gets, with their addresses as text.
+/// Reserves two ports and returns them with their addresses as text.
 #[allow(dead_code)]
-pub fn spare() -> [(TcpSocket, String); 2] {
-    [hold(), hold()].map(|held| {
-        let address = held.local_addr().unwrap().to_string();
-        (held, address)
+pub fn spare_addresses() -> [(TcpSocket, String); 2] {
+    [reserve_port(), reserve_port()].map(|socket| {
+        let address = socket.local_addr().unwrap().to_string();
+        (socket, address)
     })
 }
 
-/// Nodes by their addresses for RTSP and for HLS.
+/// Starts a director with nodes given by their RTSP and HLS addresses, and waits until it accepts connections.
 pub async fn director_of(nodes: &[(SocketAddr, SocketAddr)]) -> Director {
     let folder = tempfile::tempdir().unwrap();
-    let held = [hold(), hold()];
-    let [address, http] = [&held[0], &held[1]].map(|held| held.local_addr().unwrap());
+    let reserved_sockets = [reserve_port(), reserve_port()];
+    let [address, http] =
+        [&reserved_sockets[0], &reserved_sockets[1]].map(|socket| socket.local_addr().unwrap());
     let settings = format!(
         "{SETTINGS} listen: \"{address}\" }}\nbox_list: \"boxes.txtpb\"\n\
          hls {{ listen: \"{http}\" most_connections: 50 token_life_s: 600 key {{ id: 1 secret: \"0123456789abcdef\" }} }}\n\
@@ -79,7 +85,7 @@
     tokio::spawn(async move { ashglade_director::serve(options).await.unwrap() });
     loop {
         if TcpStream::connect(address).await.is_ok() {
-            return Director { address, http, folder, held };
+            return Director { address, http, folder, reserved_sockets };
         }
         tokio::task::yield_now().await;
     }
