--- a/crates/director/tests/whole_path.rs
+++ b/crates/director/tests/whole_path.rs
@@ -1,7 +1,7 @@
-//! The whole path on loopback, against a media node that a test plays by hand: what players and nodes see on
-//! their sockets when things go wrong between SETUP and the last frame.
+//! The whole path of a session on loopback, against scripted media nodes: what players and nodes see on their sockets
+//! when something fails between SETUP and the last frame.
 
-mod stage;
+mod support;
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -14,19 +14,19 @@
 use futures_util::{SinkExt, StreamExt};
 use rtsp_types::headers;
 use rtsp_types::{Method, StatusCode, Url};
-use stage::director;
+use support::director;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 use tokio_util::codec::{Encoder, Framed};
 
 type Connection = Framed<TcpStream, Codec>;
 
-/// What was seen, in the order in which it was; tests wait for a line, never for a time.
+/// Events in order of their occurrence. Tests wait for an event, never for a fixed time.
 #[derive(Clone, Default)]
 struct Trace(Arc<(Mutex<Vec<String>>, Notify)>);
 
 impl Trace {
-    fn line(&self, text: impl Into<String>) {
+    fn push(&self, text: impl Into<String>) {
         self.0.0.lock().unwrap().push(text.into());
         self.0.1.notify_waiters();
     }
@@ -42,7 +42,7 @@
             }
         };
         if tokio::time::timeout(Duration::from_secs(10), seen).await.is_err() {
-            panic!("{text:?} was not seen:\n{}", self.text());
+            panic!("{text:?} did not occur:\n{}", self.text());
         }
     }
 
@@ -51,6 +51,7 @@
     }
 }
 
+/// An RTSP client.
 struct Player {
     connection: Connection,
     url: Url,
@@ -79,13 +80,13 @@
 
     async fn next(&mut self) -> Option<Packet> {
         let packet = tokio::time::timeout(Duration::from_secs(10), self.connection.next()).await;
-        packet.expect("something comes").and_then(Result::ok)
+        packet.expect("a packet or the end of the connection").and_then(Result::ok)
     }
 
-    async fn ask(&mut self, method: Method) -> Response {
+    async fn request(&mut self, method: Method) -> Response {
         self.send(method).await;
         loop {
-            if let Packet::Response(response) = self.next().await.expect("an answer") {
+            if let Packet::Response(response) = self.next().await.expect("a response") {
                 if let Some(session) = messages::header(&response, &headers::SESSION) {
                     self.session = Some(messages::session_id(session).to_string());
                 }
@@ -95,11 +96,11 @@
     }
 
     async fn status(&mut self, method: Method) -> u16 {
-        self.ask(method).await.status().into()
+        self.request(method).await.status().into()
     }
 }
 
-fn answer(request: &Request, status: StatusCode) -> Response {
+fn response_to(request: &Request, status: StatusCode) -> Response {
     let mut response = messages::response(status, messages::cseq(request).as_deref());
     if *request.method() == Method::Setup && status == StatusCode::Ok {
         response.insert_header(headers::SESSION, "node-session");
@@ -109,18 +110,19 @@
     response
 }
 
-fn rtp(seq: u16, ts: u32, ssrc: u32) -> BytesMut {
+fn rtp_packet(seq: u16, timestamp: u32, ssrc: u32) -> BytesMut {
     let mut packet = BytesMut::new();
     packet.put_slice(&[0x80, 96]);
     packet.put_u16(seq);
-    packet.put_u32(ts);
+    packet.put_u32(timestamp);
     packet.put_u32(ssrc);
     packet.put_slice(b"media");
     packet
 }
 
-/// A node: for each request on its k-th connection, what it writes, or none to say nothing.
-async fn node<F>(trace: Trace, script: F) -> SocketAddr
+/// Starts a node. `script` gets the number of the connection and each request on it. It returns the packets to write,
+/// none at all to reset the connection, or `None` to write nothing.
+async fn start_node<F>(trace: Trace, script: F) -> SocketAddr
 where
     F: Fn(usize, &Request) -> Option<Vec<Packet>> + Send + Sync + 'static,
 {
@@ -128,7 +130,7 @@
     let address = listener.local_addr().unwrap();
     let script = Arc::new(script);
     tokio::spawn(async move {
-        for k in 1.. {
+        for connection_number in 1.. {
             let Ok((stream, _)) = listener.accept().await else { return };
             let (trace, script) = (trace.clone(), script.clone());
             tokio::spawn(async move {
@@ -136,21 +138,24 @@
                 while let Some(Ok(packet)) = connection.next().await {
                     let Packet::Request(request) = packet else { continue };
                     let url = request.request_uri().map_or("", |url| url.path()).to_string();
-                    trace.line(format!("connection {k}: {} {url}", <&str>::from(request.method())));
-                    let Some(packets) = script(k, &request) else { continue };
+                    trace.push(format!(
+                        "connection {connection_number}: {} {url}",
+                        <&str>::from(request.method())
+                    ));
+                    let Some(packets) = script(connection_number, &request) else { continue };
                     if packets.is_empty() {
                         connection.get_ref().set_zero_linger().unwrap();
-                        trace.line(format!("connection {k}: reset by the node"));
+                        trace.push(format!("connection {connection_number}: reset by the node"));
                         return;
                     }
-                    // All in one write.
+                    // All packets in one write.
                     let mut bytes = BytesMut::new();
                     for packet in packets {
                         Codec::default().encode(packet, &mut bytes).unwrap();
                     }
                     tokio::io::AsyncWriteExt::write_all(connection.get_mut(), &bytes).await.unwrap();
                 }
-                trace.line(format!("connection {k}: closed by the director"));
+                trace.push(format!("connection {connection_number}: closed by the director"));
             });
         }
     });
@@ -158,16 +163,18 @@
 }
 
 #[tokio::test]
-async fn a_node_that_answers_404_is_asked_once_for_the_title_and_another_plays_it() {
+async fn a_node_without_the_title_gets_one_setup_and_another_node_plays_it() {
     let trace = Trace::default();
-    let without =
-        node(trace.clone(), |_, request| Some(vec![Packet::Response(answer(request, StatusCode::NotFound))]))
-            .await;
-    let with =
-        node(Trace::default(), |_, request| Some(vec![Packet::Response(answer(request, StatusCode::Ok))]))
-            .await;
-    let director = director(&[without, with]).await;
-    // Of a group that must never be set up twice: 404 says that it was not set up at all.
+    let node_without_title = start_node(trace.clone(), |_, request| {
+        Some(vec![Packet::Response(response_to(request, StatusCode::NotFound))])
+    })
+    .await;
+    let node_with_title = start_node(Trace::default(), |_, request| {
+        Some(vec![Packet::Response(response_to(request, StatusCode::Ok))])
+    })
+    .await;
+    let director = director(&[node_without_title, node_with_title]).await;
+    // Sessions of this group must not be set up twice. A 404 proves that the session was not set up at the node.
     for viewer in 0..12 {
         let mut player = Player::open(director.address, &format!("?viewer={viewer}.0&group=event")).await;
         assert_eq!(player.status(Method::Setup).await, 200);
@@ -176,48 +183,49 @@
 }
 
 #[tokio::test]
-async fn a_session_from_the_door_to_the_node_and_back() {
+async fn a_session_from_describe_to_teardown() {
     let trace = Trace::default();
-    let node = node(trace.clone(), |_, request| {
+    let node = start_node(trace.clone(), |_, request| {
         let mut packets = vec![];
         if *request.method() == Method::Play {
-            // A frame before the answer and two behind it, in one write.
-            packets.push(Packet::Frame { channel: 0, payload: rtp(65_535, 100, 9) });
-            packets.push(Packet::Response(answer(request, StatusCode::Ok)));
-            packets.push(Packet::Frame { channel: 0, payload: rtp(0, 200, 9) });
-            packets.push(Packet::Frame { channel: 7, payload: rtp(9, 9, 9) });
-            packets.push(Packet::Frame { channel: 0, payload: rtp(1, 300, 9) });
+            // In one write: a frame before the response, and after it two frames of the session and one of no channel of
+            // the session.
+            packets.push(Packet::Frame { channel: 0, payload: rtp_packet(65_535, 100, 9) });
+            packets.push(Packet::Response(response_to(request, StatusCode::Ok)));
+            packets.push(Packet::Frame { channel: 0, payload: rtp_packet(0, 200, 9) });
+            packets.push(Packet::Frame { channel: 7, payload: rtp_packet(9, 9, 9) });
+            packets.push(Packet::Frame { channel: 0, payload: rtp_packet(1, 300, 9) });
             return Some(packets);
         }
-        Some(vec![Packet::Response(answer(request, StatusCode::Ok))])
+        Some(vec![Packet::Response(response_to(request, StatusCode::Ok))])
     })
     .await;
     let director = director(&[node]).await;
     let mut player = Player::open(director.address, "?viewer=1.0").await;
-    let describe = player.ask(Method::Describe).await;
-    trace.line(format!("player: {}", String::from_utf8_lossy(describe.body()).lines().last().unwrap()));
-    let setup = player.ask(Method::Setup).await;
+    let describe = player.request(Method::Describe).await;
+    trace.push(format!("player: {}", String::from_utf8_lossy(describe.body()).lines().last().unwrap()));
+    let setup = player.request(Method::Setup).await;
     let transport = messages::header(&setup, &headers::TRANSPORT).unwrap().to_string();
     let (transport, ssrc) = transport.split_once(";ssrc=").unwrap();
-    trace.line(format!("player: SETUP {} {transport}", u16::from(setup.status())));
+    trace.push(format!("player: SETUP {} {transport}", u16::from(setup.status())));
     let ssrc = u32::from_str_radix(ssrc, 16).unwrap();
     player.send(Method::Play).await;
     for _ in 0..4 {
         match player.next().await.unwrap() {
             Packet::Response(response) => {
-                trace.line(format!("player: PLAY {}", u16::from(response.status())))
+                trace.push(format!("player: PLAY {}", u16::from(response.status())))
             }
             Packet::Frame { channel, payload } => {
                 let seq = u16::from_be_bytes([payload[2], payload[3]]);
-                let same = payload[8..12] == ssrc.to_be_bytes();
-                trace.line(format!("player: frame on {channel} seq {seq}, as announced: {same}"));
+                let ssrc_matches = payload[8..12] == ssrc.to_be_bytes();
+                trace.push(format!("player: frame on {channel} seq {seq}, as announced: {ssrc_matches}"));
             }
             other => panic!("{other:?}"),
         }
     }
     let status = player.status(Method::Teardown).await;
     trace.wait("connection 1: TEARDOWN /t/r1").await;
-    trace.line(format!("player: TEARDOWN {status}"));
+    trace.push(format!("player: TEARDOWN {status}"));
     expect![[r#"
         player: a=control:track1?viewer=1.0
         connection 1: SETUP /t/r1/track1
@@ -234,20 +242,21 @@
 }
 
 #[tokio::test]
-async fn a_setup_given_up_is_closed_at_the_node_before_the_next_goes_out() {
+async fn the_connection_of_a_cancelled_setup_is_closed_before_the_next_setup() {
     let trace = Trace::default();
     let script = |trace: Trace, name: &'static str| {
-        node(trace, move |_, request| {
-            (name == "quick").then(|| vec![Packet::Response(answer(request, StatusCode::Ok))])
+        start_node(trace, move |_, request| {
+            (name == "quick").then(|| vec![Packet::Response(response_to(request, StatusCode::Ok))])
         })
     };
-    // Both nodes are silent; a third attempt is the quick one's.
-    let (a, b) = (script(trace.clone(), "silent").await, script(Trace::default(), "quick").await);
-    let director = director(&[a, b]).await;
-    // Two players at once: by chance one of them meets the silent node first or not at all; each is answered once.
+    // The first node never responds; the second does.
+    let (first_node, second_node) =
+        (script(trace.clone(), "silent").await, script(Trace::default(), "quick").await);
+    let director = director(&[first_node, second_node]).await;
+    // Four sessions, as the choice of the first node is random. Each player gets one response.
     let mut statuses = vec![];
-    for n in 0..4 {
-        let mut player = Player::open(director.address, &format!("?viewer={n}.0")).await;
+    for viewer in 0..4 {
+        let mut player = Player::open(director.address, &format!("?viewer={viewer}.0")).await;
         statuses.push(player.status(Method::Setup).await);
     }
     assert_eq!(statuses, [200; 4]);
@@ -260,9 +269,9 @@
 }
 
 #[tokio::test]
-async fn a_viewer_that_closes_while_its_setup_is_out_takes_it_along() {
+async fn a_setup_in_flight_is_cancelled_when_its_viewer_disconnects() {
     let trace = Trace::default();
-    let node = node(trace.clone(), |_, _| None).await;
+    let node = start_node(trace.clone(), |_, _| None).await;
     let director = director(&[node]).await;
     let mut player = Player::open(director.address, "?group=event").await;
     player.send(Method::Setup).await;
@@ -277,23 +286,23 @@
 }
 
 #[tokio::test]
-async fn a_node_that_resets_between_setup_and_play_costs_the_session_not_the_connection() {
+async fn a_node_reset_between_setup_and_play_ends_the_session_but_not_the_viewer_s_connection() {
     let trace = Trace::default();
-    let node = node(trace.clone(), |k, request| {
-        let reset = k == 1 && *request.method() == Method::Play;
-        Some(if reset { vec![] } else { vec![Packet::Response(answer(request, StatusCode::Ok))] })
+    let node = start_node(trace.clone(), |connection_number, request| {
+        let reset = connection_number == 1 && *request.method() == Method::Play;
+        Some(if reset { vec![] } else { vec![Packet::Response(response_to(request, StatusCode::Ok))] })
     })
     .await;
     let director = director(&[node]).await;
     let mut player = Player::open(director.address, "").await;
     for method in [Method::Setup, Method::Play, Method::Play] {
         let name = <&str>::from(&method).to_string();
-        trace.line(format!("player: {name} {}", player.status(method).await));
+        trace.push(format!("player: {name} {}", player.status(method).await));
     }
     player.session = None;
     for method in [Method::Setup, Method::Play] {
         let name = <&str>::from(&method).to_string();
-        trace.line(format!("player: {name} {}", player.status(method).await));
+        trace.push(format!("player: {name} {}", player.status(method).await));
     }
     expect![[r#"
         connection 1: SETUP /t/r1/track1
@@ -311,47 +320,49 @@
 }
 
 #[tokio::test]
-async fn a_fragile_session_that_may_have_run_is_torn_down_in_time() {
+async fn a_fragile_session_that_may_have_run_gets_502() {
     let trace = Trace::default();
-    let a = node(trace.clone(), |_, _| Some(vec![])).await;
-    let director = director(&[a, a_refusing_node().await]).await;
-    let mut answers = vec![];
-    for n in 0..6 {
-        let mut player = Player::open(director.address, &format!("?group=event&viewer={n}.0")).await;
-        answers.push(player.status(Method::Setup).await);
+    let first_node = start_node(trace.clone(), |_, _| Some(vec![])).await;
+    let director = director(&[first_node, start_refusing_node().await]).await;
+    let mut statuses = vec![];
+    for viewer in 0..6 {
+        let mut player = Player::open(director.address, &format!("?group=event&viewer={viewer}.0")).await;
+        statuses.push(player.status(Method::Setup).await);
     }
-    // 502 where the reset SETUP may have run, 503 where both said no or only the refusing one was met.
-    assert!(answers.contains(&502), "{answers:?}");
-    assert!(answers.iter().all(|status| [502, 503].contains(status)), "{answers:?}");
+    // 502 if the SETUP that was reset may have run, 503 if both nodes refused or only the refusing
+    // one got a SETUP.
+    assert!(statuses.contains(&502), "{statuses:?}");
+    assert!(statuses.iter().all(|status| [502, 503].contains(status)), "{statuses:?}");
 }
 
-async fn a_refusing_node() -> SocketAddr {
-    node(Trace::default(), |_, request| {
-        Some(vec![Packet::Response(answer(request, StatusCode::NotEnoughBandwidth))])
+async fn start_refusing_node() -> SocketAddr {
+    start_node(Trace::default(), |_, request| {
+        Some(vec![Packet::Response(response_to(request, StatusCode::NotEnoughBandwidth))])
     })
     .await
 }
 
 #[tokio::test]
-async fn what_can_t_be_read_gets_its_answer_and_closes_only_its_connection() {
-    let node =
-        node(Trace::default(), |_, request| Some(vec![Packet::Response(answer(request, StatusCode::Ok))]))
-            .await;
+async fn an_invalid_request_gets_an_error_and_closes_only_its_own_connection() {
+    let node = start_node(Trace::default(), |_, request| {
+        Some(vec![Packet::Response(response_to(request, StatusCode::Ok))])
+    })
+    .await;
     let director = director(&[node]).await;
     let mut player = Player::open(director.address, "").await;
     assert_eq!(player.status(Method::Setup).await, 200);
-    let mut told = vec![];
+    let mut responses = vec![];
     for bytes in [&b"OPTIONS * RTSP/3.0\r\n\r\n"[..], b"nonsense\r\n\r\n", &[b'x'; 4000]] {
         let mut stream = TcpStream::connect(director.address).await.unwrap();
         tokio::io::AsyncWriteExt::write_all(&mut stream, bytes).await.unwrap();
         let mut text = String::new();
         tokio::io::AsyncReadExt::read_to_string(&mut stream, &mut text).await.unwrap();
-        told.push(text.lines().next().unwrap_or("closed").to_string());
+        responses.push(text.lines().next().unwrap_or("closed").to_string());
     }
     expect![[r#"
         RTSP/1.0 505 RTSP Version Not Supported
         RTSP/1.0 400 Bad Request
         RTSP/1.0 414 Request URI Too Long"#]]
-    .assert_eq(&told.join("\n"));
+    .assert_eq(&responses.join("\n"));
     assert_eq!(player.status(Method::Play).await, 200);
 }
