--- a/crates/director/src/attempt.rs
+++ b/crates/director/src/attempt.rs
@@ -1,5 +1,6 @@
-//! One attempt to set up a session: a SETUP at a node, from the connection to the response. Its outcome follows from
-//! what the socket proves: a SETUP of which no byte was written has not run at the node; any other may have.
+//! One attempt to set up a session: a SETUP at a node, from the connection to the response. Its outcome
+//! follows from what the socket proves: a SETUP of which no byte was written has not run at the node; any
+//! other may have.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,8 +20,8 @@
 use crate::node_session::NodeSession;
 use crate::pool::Connection;
 
-/// How an attempt ended, with the load that the node reported in its response. `T` is the session that the node has
-/// accepted, as the front (RTSP or HLS) holds it.
+/// How an attempt ended, with the load that the node reported in its response. `T` is the session that the
+/// node has accepted, as the front (RTSP or HLS) holds it.
 pub type AttemptResult<T> = Result<(T, Option<LoadReport>), (AttemptError, Option<LoadReport>)>;
 
 /// Why an attempt set up no session.
@@ -67,9 +68,9 @@
 }
 
 impl WriteMarker {
-    /// Marks the SETUP as written and reports that to the engine. Returns false if it must not be written any longer:
-    /// a director that was paused since the decision may have used leases that have expired and that another director
-    /// holds by now. Applies only where directors share resources.
+    /// Marks the SETUP as written and reports that to the engine. Returns false if it must not be written any
+    /// longer: a director that was paused since the decision may have used leases that have expired and that
+    /// another director holds by now. Applies only where directors share resources.
     pub async fn mark_written(&self, context: &DirectorContext) -> bool {
         let max_delay = ashglade_peer_transport::max_send_delay(&context.settings);
         if context.settings.talk.is_some() && context.clock.now() - self.decided_at > max_delay {
@@ -108,8 +109,8 @@
         (&mut self.task).await.unwrap_or(Err((AttemptError::Failed(AttemptOutcome::Lost), None)))
     }
 
-    /// Cancels the attempt by closing its connection, and returns its result. An attempt that has already ended keeps
-    /// its own result.
+    /// Cancels the attempt by closing its connection, and returns its result. An attempt that has already
+    /// ended keeps its own result.
     pub async fn cancel(self) -> AttemptResult<T> {
         self.task.abort();
         match self.task.await {
@@ -122,7 +123,7 @@
     }
 }
 
-/// Where and what to set up by RTSP.
+/// Target of a SETUP by RTSP.
 pub struct SetupTarget {
     pub node: NodeId,
     pub address: SocketAddr,
@@ -132,7 +133,7 @@
 }
 
 /// Sends a SETUP by RTSP and waits for the response.
-pub async fn send(
+pub async fn send_setup(
     context: Arc<DirectorContext>,
     target: SetupTarget,
     marker: WriteMarker,
@@ -177,12 +178,13 @@
     }
 }
 
-/// A connection with an unanswered SETUP. If dropped, it is reset rather than closed, so that data not yet received by
-/// the node is discarded. Otherwise, after a network partition, the SETUP could arrive long after the session was set
-/// up elsewhere.
+/// A connection with an unanswered SETUP. If dropped, it is reset rather than closed, so that data not yet
+/// received by the node is discarded. Otherwise, after a network partition, the SETUP could arrive long after
+/// the session was set up elsewhere.
 struct PendingConnection(Option<Connection>);
 
 impl PendingConnection {
+    /// Returns the connection while the response is outstanding.
     fn connection(&mut self) -> Result<&mut Connection, (AttemptError, Option<LoadReport>)> {
         self.0.as_mut().ok_or((AttemptError::Failed(AttemptOutcome::Lost), None))
     }
--- a/crates/director/src/context.rs
+++ b/crates/director/src/context.rs
@@ -23,6 +23,7 @@
 pub struct DirectorContext {
     pub engine: EngineHandle,
     pub clock: Clock,
+    /// RTSP connections to nodes.
     pub pool: ConnectionPool,
     /// HTTP client with pooled connections to nodes, for HLS.
     pub http_client: Client<HttpConnector, Empty<Bytes>>,
@@ -33,22 +34,25 @@
     pub users: Option<Arc<Users>>,
     /// Starts above the identifiers of an earlier run, see [`DirectorContext::new_session_id`].
     pub next_session_id: AtomicU64,
+    /// Random generator of [`DirectorContext::random`].
     pub random: Mutex<oorandom::Rand64>,
 }
 
 impl DirectorContext {
-    /// Returns an identifier that no other session has, including those that an earlier run left in the ledger.
+    /// Returns an identifier that no other session has, including those that an earlier run left in the
+    /// ledger.
     pub fn new_session_id(&self) -> SessionId {
         SessionId(self.next_session_id.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Builds the engine's request for a viewer of either front. The client and the tenant are read from the query
-    /// parameters named in the settings; a request without a client parameter is attributed to the peer's address.
+    /// Builds the engine's request for a viewer of either front. The client and the tenant are read from the
+    /// query parameters named in the settings; a request without a client parameter is attributed to the
+    /// peer's address.
     pub fn viewer_request(
         &self,
         title: &Title,
         group: GroupId,
-        top: u8,
+        top_rung: u8,
         query_value: impl Fn(&str) -> Option<String>,
         peer: impl FnOnce() -> String,
     ) -> ViewerRequest {
@@ -61,7 +65,7 @@
         ViewerRequest {
             group,
             title: ashglade::ids::TitleId(title.id),
-            top_rung: Rung(top.min(settings.top_rung())),
+            top_rung: Rung(top_rung.min(settings.top_rung())),
             first_cell: title.home,
             cell_count: title.copies,
             setup_timeout: settings.setup_timeouts[group.0],
--- a/crates/director/src/engine_task.rs
+++ b/crates/director/src/engine_task.rs
@@ -1,5 +1,5 @@
-//! The task that owns the engine. It passes all queued inputs to the engine as one round and hands the resulting
-//! effects to the tasks concerned without waiting for any of them.
+//! The task that owns the engine. It passes all queued inputs to the engine as one round and hands the
+//! resulting effects to the tasks concerned without waiting for any of them.
 
 use std::collections::HashMap;
 use std::io::Write;
@@ -30,6 +30,7 @@
 }
 
 impl LedgerStore {
+    /// Appends an entry to the journal.
     fn append(&mut self, entry: &journal::Entry) {
         // Written without buffering, so that the entry survives if the process is killed.
         if let Some(file) = &mut self.file
@@ -40,6 +41,7 @@
         }
     }
 
+    /// Applies an update to the ledger and the journal.
     fn apply(&mut self, update: LedgerUpdate, now: Instant) {
         match update {
             LedgerUpdate::SessionHeld(key, held) => {
@@ -60,9 +62,11 @@
     }
 }
 
+/// State of the engine's task.
 struct EngineTask {
     engine: Engine,
     config: EngineTaskConfig,
+    /// Command queues of the sessions' tasks.
     sessions: HashMap<SessionId, mpsc::Sender<SessionCommand>>,
     /// Inputs for the next round that follow directly from the last round's effects.
     next_inputs: Vec<Input>,
@@ -86,7 +90,7 @@
 
 /// Runs until the last [`crate::engine_handle::EngineHandle`] is dropped.
 ///
-/// `recording` receives the rounds as JSON lines, and `drained` is set once a draining engine has no session left.
+/// `recording` receives the rounds as JSON lines. `drained` is set when a draining engine has no sessions left.
 pub async fn run(
     config: EngineTaskConfig,
     engine_config: EngineConfig,
@@ -157,7 +161,7 @@
         }
         if let (Some(admission), Some(path)) = (self.engine.admission(), &self.config.admission_status_path) {
             let text = serde_json::to_string(&admission.status()).unwrap_or_default();
-            if let Err(error) = files::replace(path, &text) {
+            if let Err(error) = files::replace_file(path, &text) {
                 warn!(path = %path.display(), %error, "writing the status of the admission queue failed");
             }
         }
@@ -209,7 +213,7 @@
             .engine
             .membership()
             .nodes()
-            .filter_map(|(&n, entry)| Some((n, entry.info.started?)))
+            .filter_map(|(&node, entry)| Some((node, entry.info.started?)))
             .collect();
         for (node, at) in start_times {
             for key in self.ledger_store.ledger.node_started(node, at) {
@@ -218,6 +222,7 @@
         }
     }
 
+    /// Runs a round of the engine, records it and applies its effects.
     fn run_round(&mut self, now: Instant, inputs: Vec<Input>) {
         let recorded = self.recording.is_some().then(|| inputs.clone());
         let effects = self.engine.round(now, inputs);
@@ -238,6 +243,7 @@
         }
     }
 
+    /// Passes an effect to the task that carries it out.
     fn apply_effect(&mut self, now: Instant, effect: Effect) {
         match effect {
             Effect::SendSetup { session: session_id, setup, node, rung, .. } => {
@@ -270,7 +276,7 @@
                 self.send_command(session_id, SessionCommand::CancelSetup { setup, if_unsent });
             }
             Effect::Respond { session: session_id, response: answer } => {
-                debug!(sess = session_id.0, ?answer, "response sent to the viewer");
+                debug!(sess = session_id.0, ?answer, "responding to the viewer");
                 self.send_command(session_id, SessionCommand::Respond(answer));
             }
             Effect::ChangeRung { session: session_id, rung } => {
@@ -307,8 +313,8 @@
         }
     }
 
-    /// Queues a command for the session's task. Returns false if the task has ended or its queue is full; a session
-    /// whose queue is full is given up.
+    /// Queues a command for the session's task. Returns false if the task has ended or its queue is full; a
+    /// session whose queue is full is given up.
     fn send_command(&mut self, session_id: SessionId, command: SessionCommand) -> bool {
         let Some(commands) = self.sessions.get(&session_id) else { return false };
         match commands.try_send(command) {
@@ -325,6 +331,7 @@
     }
 }
 
+/// Appends a line to the recording.
 fn write_json_line(file: &mut std::io::BufWriter<std::fs::File>, entry: &impl serde::Serialize) {
     let written = serde_json::to_writer(&mut *file, entry).map_err(std::io::Error::from);
     if let Err(error) = written.and_then(|()| file.write_all(b"\n")) {
--- a/crates/director/src/files.rs
+++ b/crates/director/src/files.rs
@@ -31,18 +31,18 @@
 }
 
 /// Resolves a path in the settings relative to the folder of the settings file.
-pub fn beside(settings: &Path, name: &str) -> PathBuf {
+pub fn resolve_path(settings: &Path, name: &str) -> PathBuf {
     settings.parent().unwrap_or(Path::new(".")).join(name)
 }
 
 /// Replaces a file atomically, so that no reader sees it partly written.
-pub fn replace(path: &Path, text: &str) -> std::io::Result<()> {
+pub fn replace_file(path: &Path, text: &str) -> std::io::Result<()> {
     let temporary = path.with_extension("new");
     std::fs::write(&temporary, text)?;
     std::fs::rename(&temporary, path)
 }
 
 /// Reads a file that a director needs in order to start.
-pub fn read(path: &Path) -> Result<String, StartupError> {
+pub fn read_file(path: &Path) -> Result<String, StartupError> {
     std::fs::read_to_string(path).map_err(|source| StartupError::Read { path: path.to_path_buf(), source })
 }
--- a/crates/director/src/hls/fetch.rs
+++ b/crates/director/src/hls/fetch.rs
@@ -1,5 +1,6 @@
-//! HTTP requests to nodes. The SETUP of an HLS session is a GET of the title's multivariant playlist, which the node
-//! accepts with 200. It uses a connection of its own, so that it is known whether a byte of it was written.
+//! HTTP requests to nodes. The SETUP of an HLS session is a GET of the title's multivariant playlist, which
+//! the node accepts with 200. It uses a connection of its own, so that it is known whether a byte of it was
+//! written.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -50,7 +51,7 @@
 /// Sends a SETUP by HTTP and waits for the response.
 ///
 /// `node` is as in [`AcceptedSession::node`].
-pub async fn send(
+pub async fn send_setup(
     context: Arc<DirectorContext>,
     node: (NodeId, SocketAddr, SocketAddr),
     url: Url,
--- a/crates/director/src/hls/mod.rs
+++ b/crates/director/src/hls/mod.rs
@@ -1,5 +1,6 @@
-//! The HLS front, for players that use HTTP. A GET of a title's `index.m3u8` requests a session. Every other request
-//! names its session by a signed token in its path. Which node serves a session is decided by the engine alone.
+//! The HLS front, for players that use HTTP. A GET of a title's `index.m3u8` requests a session. Every other
+//! request names its session by a signed token in its path. Which node serves a session is decided by the
+//! engine alone.
 
 mod fetch;
 mod relay;
@@ -92,7 +93,8 @@
     let _ = stream.set_nodelay(true);
     let peer = stream.peer_addr().map(|peer| peer.ip().to_string()).unwrap_or_default();
     let mut stream = tokio_io_timeout::TimeoutStream::new(stream);
-    // Closes a connection whose player doesn't read, is idle between requests for too long, or sends a request slowly.
+    // Closes a connection whose player doesn't read, is idle between requests for too long, or sends a
+    // request slowly.
     stream.set_write_timeout(Some(settings.write_timeout));
     stream.set_read_timeout(Some(settings.session_timeout));
     let timeout = settings.write_timeout;
@@ -220,8 +222,8 @@
         Ok((token, PlayerRequest { resource, path, range, reply }))
     }
 
-    /// Returns the URI under which the session's player requests a path at the node. The path is signed, so that a player
-    /// can request only what its playlists name.
+    /// Returns the URI under which the session's player requests a path at the node. The path is signed, so
+    /// that a player can request only what its playlists name.
     pub fn signed_uri(
         &self,
         title: &str,
@@ -234,8 +236,8 @@
         format!("/{title}/{token}/{resource}-{signature}/{path}")
     }
 
-    /// Requests a session from the engine and starts the session's task, which answers the request. Returns the response
-    /// if the request is rejected here.
+    /// Requests a session from the engine and starts the session's task, which answers the request. Returns
+    /// the response if the request is rejected here.
     async fn begin_session(
         self: &Arc<Self>,
         title: &str,
--- a/crates/director/src/hls/relay.rs
+++ b/crates/director/src/hls/relay.rs
@@ -1,5 +1,5 @@
-//! Relays a segment from its node to its player as a stream. Back pressure: while the player takes no data, nothing
-//! is read from the node.
+//! Relays a segment from its node to its player as a stream. Back pressure: while the player takes no data,
+//! nothing is read from the node.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -14,10 +14,11 @@
 pub struct RelayResult {
     /// The variant that the segment belongs to, if it is not shared between variants.
     pub variant: Option<usize>,
+    /// Bytes received from the node.
     pub bytes: u64,
     /// The time spent waiting for the node. The time that the player took to read doesn't count.
     pub node_wait: Duration,
-    /// The node ended the response before its end.
+    /// The node can't be reached, or its connection failed before the end of the segment.
     pub node_failed: bool,
 }
 
--- a/crates/director/src/hls/session.rs
+++ b/crates/director/src/hls/session.rs
@@ -1,5 +1,5 @@
-//! The task of one HLS session. It carries out the engine's commands and answers the player's requests with what it
-//! fetches from the session's node.
+//! The task of one HLS session. It carries out the engine's commands and answers the player's requests with
+//! what it fetches from the session's node.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -42,8 +42,8 @@
 const MAX_IN_FLIGHT: usize = 16;
 /// Maximum number of playlists cached for a session. A player needs one for each variant that it uses.
 const MAX_CACHED_PLAYLISTS: usize = 8;
-/// Time for which a live playlist is cached, in target durations. Players that keep to RFC 8216, 6.3.4 don't reload
-/// sooner; the reloads of those that do cost the node nothing.
+/// Time for which a live playlist is cached, in target durations. Players that keep to RFC 8216, 6.3.4 don't
+/// reload sooner; the reloads of those that do cost the node nothing.
 const PLAYLIST_CACHE_TARGET_DURATIONS: f64 = 0.45;
 
 /// State of the session's task.
@@ -54,8 +54,8 @@
     token: Token,
     signed_token: String,
     viewer_request: ViewerRequest,
-    /// The engine's identifier of the session. Differs from the token's once the session has lost a node and was
-    /// requested again.
+    /// The engine's identifier of the session. Differs from the token's once the session has lost a node and
+    /// was requested again.
     session_id: SessionId,
     commands: mpsc::Receiver<SessionCommand>,
     state: Session,
@@ -160,6 +160,7 @@
         }
     }
 
+    /// Handles one event.
     async fn handle_event(&mut self, event: Event) {
         match event {
             Event::Command(Some(command)) => self.handle_command(command).await,
@@ -203,11 +204,13 @@
         let context = self.front.context.clone();
         match command {
             SessionCommand::SendSetup { setup, node, http_address, address, rung, decided_at } => {
-                let node_url = http_address.and_then(|address| self.multivariant_playlist_url(address, rung));
+                let node_url =
+                    http_address.and_then(|http_address| self.multivariant_playlist_url(http_address, rung));
                 match (http_address, node_url) {
                     (Some(http_address), Some(node_url)) => {
-                        let send =
-                            |marker| fetch::send(context, (node, http_address, address), node_url, marker);
+                        let send = |marker| {
+                            fetch::send_setup(context, (node, http_address, address), node_url, marker)
+                        };
                         self.attempt = Some(Attempt::start(self.session_id, setup, decided_at, send));
                     }
                     _ => {
@@ -222,7 +225,8 @@
                 }
             }
             SessionCommand::CancelSetup { setup, if_unsent } => {
-                let matches = |a: &mut Attempt<_>| a.setup == setup && !(if_unsent && a.written());
+                let matches =
+                    |attempt: &mut Attempt<_>| attempt.setup == setup && !(if_unsent && attempt.written());
                 if let Some(attempt) = self.attempt.take_if(matches) {
                     let result = attempt.cancel().await;
                     self.report_setup_result(setup, result).await;
@@ -268,7 +272,8 @@
         info!(sess = self.session_id.0, title = self.title, rung = rung.0, "HLS session playing");
         self.state.plays(self.rung_rate(rung), now);
         let Some(accepted) = &mut self.accepted else { return self.state.over() };
-        // The new node's variants differ, so the player's URIs would refer to other variants: it has to start over.
+        // The new node's variants differ, so the player's URIs would refer to other variants: it has to start
+        // over.
         if !self.state.has(std::mem::take(&mut accepted.variants)) {
             return self.reject(|| text_reply(StatusCode::GONE, "the title has changed; begin anew"));
         }
@@ -476,8 +481,8 @@
         }
     }
 
-    /// Reports the session as lost with its node. If its service group allows another SETUP, the session is requested
-    /// again at the player's next request; otherwise it ends.
+    /// Reports the session as lost with its node. If its service group allows another SETUP, the session is
+    /// requested again at the player's next request; otherwise it ends.
     async fn node_lost(&mut self, error: FetchError) {
         if !self.state.lost() {
             return;
@@ -488,7 +493,7 @@
         info!(
             sess = self.session_id.0,
             ?how,
-            "session lost: the node's connection failed or the node didn't respond"
+            "session lost: the node's connection failed or a response timed out"
         );
         context.engine.submit(Input::SessionEnded { session: self.session_id, outcome: how }).await;
         context.engine.send(EngineMessage::CloseSession(self.session_id)).await;
--- a/crates/director/src/lib.rs
+++ b/crates/director/src/lib.rs
@@ -1,6 +1,6 @@
-//! The director's network I/O around the engine. One task owns the engine and runs it in rounds. Tasks for each
-//! viewer's connection, session and node list feed it inputs and carry out its effects. Which session goes to which
-//! node is decided by the engine alone.
+//! The director's network I/O around the engine. One task owns the engine and runs it in rounds. Tasks for
+//! each viewer's connection, session and node list feed it inputs and carry out its effects. Which session
+//! goes to which node is decided by the engine alone.
 
 mod attempt;
 mod context;
--- a/crates/director/src/node_lists.rs
+++ b/crates/director/src/node_lists.rs
@@ -1,6 +1,7 @@
-//! Node discovery from files (`box_list` in the settings). The files are read when they change, and at a fixed
-//! interval in case a change isn't notified. `ashglade_discovery::sources` merges them and decides which list is in
-//! force. That list is also written to a file (`kept_list`), from which a later start can resume.
+//! Node discovery from files (`box_list` in the settings). The files are read when they change, and at a
+//! fixed interval in case a change isn't notified. `ashglade_discovery::sources` merges them and decides
+//! which list is in force. That list is also written to a file (`kept_list`), from which a later start can
+//! resume.
 
 use std::ffi::{OsStr, OsString};
 use std::path::{Path, PathBuf};
@@ -31,8 +32,8 @@
     /// `path` is the settings file, to which the other paths are relative.
     pub fn new(settings: &Settings, path: &Path) -> NodeListFiles {
         NodeListFiles {
-            sources: settings.box_lists.iter().map(|name| files::beside(path, name)).collect(),
-            kept: settings.kept_list.as_ref().map(|name| files::beside(path, name)),
+            sources: settings.box_lists.iter().map(|name| files::resolve_path(path, name)).collect(),
+            kept: settings.kept_list.as_ref().map(|name| files::resolve_path(path, name)),
         }
     }
 }
@@ -57,8 +58,8 @@
     parse_list(path, &read_file(path), names)
 }
 
-/// Reads all sources for the first time. If none holds a valid list, the kept list is used. Fails if there is none
-/// either.
+/// Reads all sources for the first time. If none holds a valid list, the kept list is used. Fails if there is
+/// none either.
 pub fn load(
     settings: &Settings,
     files: &NodeListFiles,
@@ -103,7 +104,7 @@
                 left_out,
                 of,
                 until_ms = until.as_ms(),
-                "NODE LIST HELD BACK: it omits many ready nodes at once; accepted if it stays unchanged or sets `leaves_out`"
+                "NODE LIST HELD BACK: it omits many ready nodes; accepted if it stays unchanged or sets `leaves_out`"
             ),
             SourceEvent::Accepted { source, left_out } => {
                 warn!(path = path(source), left_out, "node list accepted although it omits many ready nodes");
@@ -119,15 +120,15 @@
 /// Writes the list in force to a file, for a later start without another list.
 fn write_kept_list(files: &NodeListFiles, list: Option<&NodeList>, names: &Names) {
     if let (Some(path), Some(list)) = (&files.kept, list)
-        && let Err(error) = files::replace(path, &ashglade_settings::write_boxes(list, names))
+        && let Err(error) = files::replace_file(path, &ashglade_settings::write_boxes(list, names))
     {
         warn!(path = %path.display(), %error, "writing the node list in force failed");
     }
 }
 
-/// Returns whether an event in a list's folder may mean that the list has changed. Read access doesn't count, as
-/// otherwise reading the list would trigger the next read. Neither do writes to other files there, such as a log. A
-/// new link or folder counts, as the path of the list may lead through it.
+/// Returns whether an event in a list's folder may mean that the list has changed. Read access doesn't count,
+/// as otherwise reading the list would trigger the next read. Neither do writes to other files there, such as
+/// a log. A new link or folder counts, as the path of the list may lead through it.
 fn may_change_list(event: &notify::Event, list_names: &[OsString]) -> bool {
     use notify::EventKind;
     use notify::event::ModifyKind;
@@ -162,10 +163,11 @@
         // Watches the folder rather than the file, as a file that is renamed into place is a different one.
         let watched = watcher.as_mut().map(|w| w.watch(folder, notify::RecursiveMode::NonRecursive));
         if let Some(Err(error)) = watched {
-            warn!(folder = %folder.display(), %error, "the folder can't be watched; its node lists are polled");
+            warn!(folder = %folder.display(), %error, "can't watch the folder; its node lists are polled");
         }
     }
-    // Files are compared by content. Modification times are unreliable: a clock change or a copy can set them.
+    // Files are compared by content. Modification times are unreliable: a clock change or a copy can set
+    // them.
     let mut last_contents: Vec<Option<FileContent>> = vec![None; files.sources.len()];
     write_kept_list(&files, merger.current(), &names);
     let mut tick = tokio::time::interval(context.settings.front.list_poll);
@@ -213,8 +215,8 @@
 
     use super::*;
 
-    /// Guards against a loop in which reading a list triggers the next read. Passes the events of a real watcher
-    /// through the filter.
+    /// Guards against a loop in which reading a list triggers the next read. Passes the events of a real
+    /// watcher through the filter.
     #[test]
     fn reading_a_list_triggers_no_further_read() {
         let folder = tempfile::tempdir().unwrap();
@@ -224,7 +226,8 @@
         let (sender, event_receiver) = mpsc::channel();
         let mut watcher = notify::recommended_watcher(move |event| drop(sender.send(event))).unwrap();
         watcher.watch(folder.path(), notify::RecursiveMode::NonRecursive).unwrap();
-        // Each action is followed by the creation of a folder, whose event marks the end of the action's events.
+        // Each action is followed by the creation of a folder, whose event marks the end of the action's
+        // events.
         let list_names = [OsString::from("boxes.txtpb")];
         let triggers_read = |action: &dyn Fn()| {
             action();
--- a/crates/director/src/node_session.rs
+++ b/crates/director/src/node_session.rs
@@ -1,5 +1,5 @@
-//! A session at a node, after its SETUP was accepted, and the RTSP connection that carries it. Requests and the
-//! meaning of responses are up to the client's state machine (`ashglade_rtsp::client`).
+//! A session at a node, after its SETUP was accepted, and the RTSP connection that carries it. Requests and
+//! the meaning of responses are up to the client's state machine (`ashglade_rtsp::client`).
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,7 +27,8 @@
 }
 
 impl NodeSession {
-    /// Takes over the connection on which the node has accepted the SETUP, and records the session in the ledger.
+    /// Takes over the connection on which the node has accepted the SETUP, and records the session in the
+    /// ledger.
     pub async fn new(
         context: &DirectorContext,
         (node, address): (NodeId, SocketAddr),
@@ -46,6 +47,7 @@
         NodeSession { node, address, client, connection, ledger_key }
     }
 
+    /// Sends a request within the write timeout.
     async fn send(&mut self, context: &DirectorContext, request: Request) -> Result<(), Fault> {
         let sending = self.connection.send(Packet::Request(request));
         let timed_out = |_| Fault::Io(std::io::ErrorKind::TimedOut.into());
@@ -64,6 +66,7 @@
         self.send(context, request).await
     }
 
+    /// Sends PAUSE.
     pub async fn pause(&mut self, context: &DirectorContext) -> Result<(), Fault> {
         let request = self.client.pause(context.clock.micros());
         self.send(context, request).await
@@ -93,7 +96,8 @@
         futures_util::FutureExt::now_or_never(self.connection.next())
     }
 
-    /// Whether a response that the viewer waits for has been outstanding for longer than the response timeout.
+    /// Whether a response that the viewer waits for has been outstanding for longer than the response
+    /// timeout.
     pub fn response_overdue(&self, context: &DirectorContext) -> bool {
         let timeout = context.settings.front.answer_timeout.as_micros() as u64;
         self.client.overdue(context.clock.micros(), timeout)
@@ -107,8 +111,8 @@
             .await;
     }
 
-    /// Tears the session down and returns the connection to the pool. If the node doesn't respond in time, the
-    /// connection is dropped and the tear-down left to the ledger.
+    /// Tears the session down and returns the connection to the pool. If the node doesn't respond in time,
+    /// the connection is dropped and the tear-down left to the ledger.
     pub async fn tear_down(mut self, context: Arc<DirectorContext>) {
         let timeout = context.settings.front.answer_timeout;
         match tokio::time::timeout(timeout, self.send_teardown(&context)).await {
--- a/crates/director/src/pool.rs
+++ b/crates/director/src/pool.rs
@@ -1,5 +1,6 @@
-//! Pool of idle connections to nodes, so that a SETUP need not wait for a TCP handshake. A connection carries one
-//! session at a time: a SETUP is cancelled by closing its connection, which must not disturb another session.
+//! Pool of idle connections to nodes, so that a SETUP need not wait for a TCP handshake. A connection carries
+//! one session at a time: a SETUP is cancelled by closing its connection, which must not disturb another
+//! session.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/director/src/serve.rs
+++ b/crates/director/src/serve.rs
@@ -23,7 +23,7 @@
 use crate::context::DirectorContext;
 use crate::engine_handle::{ENGINE_QUEUE_CAPACITY, EngineHandle};
 use crate::engine_task::{self, EngineTaskConfig, LedgerStore};
-use crate::files::{StartupError, beside, read, replace};
+use crate::files::{StartupError, read_file, replace_file, resolve_path};
 use crate::node_lists::{self, NodeListFiles};
 use crate::pool::ConnectionPool;
 use crate::{node_requests, viewer};
@@ -36,15 +36,15 @@
     pub settings: PathBuf,
     /// Where the engine's rounds are recorded, as JSON lines, if anywhere.
     pub record: Option<PathBuf>,
-    /// Fault in the exchange between directors, injected by the lab to check that its judge detects it. No command of
-    /// the director sets it.
+    /// Fault in the exchange between directors, injected by the lab to check that its judge detects it. No
+    /// command of the director sets it.
     pub defect: Option<ashglade_peer_transport::InjectedFault>,
 }
 
-/// Reads and checks the settings and the node lists. Returns the settings, the node list that a director would start
-/// with, and the files it would follow.
+/// Reads and checks the settings and the node lists. Returns the settings, the node list that a director
+/// would start with, and the files it would follow.
 pub fn load(path: &Path) -> Result<(Settings, NodeList, NodeListFiles), StartupError> {
-    let settings = ashglade_settings::settings(&path.display().to_string(), &read(path)?)?;
+    let settings = ashglade_settings::settings(&path.display().to_string(), &read_file(path)?)?;
     let files = NodeListFiles::new(&settings, path);
     let (_, list) = node_lists::load(&settings, &files, ashglade::time::Instant::default())?;
     Ok((settings, list, files))
@@ -53,13 +53,13 @@
 /// Returns the file to which a director with these settings writes the status of its admission queue.
 pub fn door_view(settings: &Settings, path: &Path) -> Option<PathBuf> {
     let view = settings.door.as_ref()?.view.as_ref()?;
-    Some(beside(path, view))
+    Some(resolve_path(path, view))
 }
 
 /// Returns the file to which a director with these settings writes its view of other directors and of nodes.
 pub fn shared_view(settings: &Settings, path: &Path) -> Option<PathBuf> {
     let view = settings.talk.as_ref()?.share.as_ref()?.view.as_ref()?;
-    Some(beside(path, view))
+    Some(resolve_path(path, view))
 }
 
 /// Returns the engine's configuration from the settings.
@@ -90,7 +90,7 @@
 /// Runs a director until it is stopped: the first SIGTERM or SIGINT drains it, the second ends it at once.
 pub async fn serve(options: Options) -> Result<(), StartupError> {
     let settings =
-        ashglade_settings::settings(&options.settings.display().to_string(), &read(&options.settings)?)?;
+        ashglade_settings::settings(&options.settings.display().to_string(), &read_file(&options.settings)?)?;
     let files = NodeListFiles::new(&settings, &options.settings);
     let recording = match &options.record {
         Some(path) => {
@@ -184,7 +184,8 @@
     }
     info!(%address, director = settings.headend.director_index, nodes = list.entries.len(), "serving");
 
-    // Beyond the connection limit, viewers wait in the kernel's accept queue; nothing has been read from them.
+    // Beyond the connection limit, viewers wait in the kernel's accept queue; nothing has been read from
+    // them.
     let connection_permits = Arc::new(Semaphore::new(settings.front.most_connections));
     loop {
         let accept = async {
@@ -201,7 +202,8 @@
                     });
                 }
                 (Err(error), _) => {
-                    // For example, the limit on open files is reached. Retries after connections may have ended.
+                    // For example, the limit on open files is reached. Retries after connections may have
+                    // ended.
                     warn!(%error, "accepting a connection failed");
                     tokio::time::sleep(std::time::Duration::from_millis(50)).await;
                 }
@@ -241,8 +243,8 @@
         .build(connector)
 }
 
-/// Opens the session ledger. The sessions that an earlier run left in the journal become pending tear-downs, and the
-/// journal is rewritten with these alone.
+/// Opens the session ledger. The sessions that an earlier run left in the journal become pending tear-downs,
+/// and the journal is rewritten with these alone.
 fn open_ledger(
     settings: &Settings,
     path: &Path,
@@ -250,7 +252,7 @@
 ) -> Result<LedgerStore, StartupError> {
     let mut ledger = Ledger::new(TeardownPolicy::default(), settings.headend.seed);
     let Some(name) = &settings.front.ledger else { return Ok(LedgerStore { ledger, file: None }) };
-    let path = beside(path, name);
+    let path = resolve_path(path, name);
     let read_error = |source| StartupError::Read { path: path.clone(), source };
     let open_sessions = match std::fs::read_to_string(&path) {
         Ok(text) => journal::open_sessions(&text)
@@ -262,7 +264,7 @@
         .iter()
         .map(|(&key, held)| journal::encode(&journal::Entry::Held(key, held.clone())))
         .collect();
-    replace(&path, &lines).map_err(read_error)?;
+    replace_file(&path, &lines).map_err(read_error)?;
     let file = std::fs::OpenOptions::new().append(true).open(&path).map_err(read_error)?;
     if !open_sessions.is_empty() {
         info!(sessions = open_sessions.len(), "tear-downs pending from an earlier run");
--- a/crates/director/src/session.rs
+++ b/crates/director/src/session.rs
@@ -1,5 +1,5 @@
-//! The session of an RTSP viewer: its SETUP attempt in flight, its node, and the rewriting of its media from the
-//! node's RTP stream to the stream that the viewer sees.
+//! The session of an RTSP viewer: its SETUP attempt in flight, its node, and the rewriting of its media from
+//! the node's RTP stream to the stream that the viewer sees.
 
 use ashglade::ids::SessionId;
 use ashglade_rtsp::presentation::{self, Asked};
@@ -18,8 +18,11 @@
     pub id: SessionId,
     /// What the viewer requested by its URL.
     pub requested: Asked,
+    /// Commands of the engine.
     pub commands: mpsc::Receiver<SessionCommand>,
+    /// The SETUP in flight.
     pub attempt: Option<Attempt<Box<NodeSession>>>,
+    /// The session at its node, once set up.
     pub node: Option<Box<NodeSession>>,
     /// The rung chosen by the engine.
     pub rung: u8,
@@ -78,7 +81,7 @@
         }
     }
 
-    /// The SSRC that the viewer sees on a track.
+    /// Returns the SSRC that the viewer sees on a track.
     pub fn ssrc(&self, track: u8) -> u32 {
         self.tracks.get(usize::from(track)).map_or(0, |track| track.rewriter.ssrc())
     }
@@ -128,9 +131,9 @@
         self.tracks.iter_mut().for_each(|track| track.meter.restart(now_us));
     }
 
-    /// Returns the lowest share of its media that a track has received since the last call: what arrived from the node,
-    /// less the viewer's reported loss. Only tracks that are set up and of which enough was due count; `None` if there
-    /// is none.
+    /// Returns the lowest share of its media that a track has received since the last call: what arrived from
+    /// the node, less the viewer's reported loss. Only tracks that are set up and of which enough was due
+    /// count; `None` if there is none.
     pub fn delivered_share(&mut self, now_us: u64, set_up: impl Fn(u8) -> bool) -> Option<f64> {
         let shares =
             (0u8..).zip(&mut self.tracks).filter(|(number, _)| set_up(*number)).filter_map(|(_, track)| {
--- a/crates/director/src/teardown.rs
+++ b/crates/director/src/teardown.rs
@@ -1,4 +1,4 @@
-//! Pending tear-downs of sessions that ended without the node's confirmation. Each uses a connection of its own.
+//! Pending tear-downs of sessions that ended without the node's confirmation, each on its own connection.
 
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
         .await;
 }
 
-/// Sends TEARDOWN and waits for the response. Returns `Some` if the node ended the session or doesn't know it.
+/// Sends TEARDOWN. Returns `Some` if the response is that the session is ended or unknown.
 async fn send_teardown(context: &DirectorContext, teardown: &Teardown) -> Option<()> {
     let address = teardown.held.address;
     let mut connection = context.pool.connect(address, context.settings.front.connect_timeout).await.ok()?;
--- a/crates/director/src/viewer.rs
+++ b/crates/director/src/viewer.rs
@@ -1,6 +1,6 @@
-//! The RTSP front: one viewer's connection. It passes the viewer's requests to the state machine, carries out the
-//! engine's commands for its session, and relays the node's frames. Back pressure: while a slow viewer takes no data,
-//! nothing is read from its node.
+//! The RTSP front: one viewer's connection. It passes the viewer's requests to the state machine, carries out
+//! the engine's commands for its session, and relays the node's frames. Back pressure: while a slow viewer
+//! takes no data, nothing is read from its node.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -37,10 +37,12 @@
 /// Interval of the checks for delivery, idle timeout and keep-alive.
 const TICK_INTERVAL: Duration = Duration::from_secs(1);
 
+/// A viewer's connection, and its session if it has one.
 struct ViewerConnection {
     context: Arc<DirectorContext>,
     connection: Framed<TcpStream, Codec>,
     server: Server,
+    /// Requests queued behind the one in progress.
     requests: VecDeque<Request>,
     session: Option<Box<RtspSession>>,
     /// When the viewer's last packet was received.
@@ -132,6 +134,7 @@
         }
     }
 
+    /// Handles one event, then the queued requests as far as none is in progress.
     async fn handle_event(&mut self, event: Event) -> Result<(), Disconnected> {
         match event {
             Event::ViewerPacket(None) => return Err(Disconnected),
@@ -195,6 +198,7 @@
         matches!(fed, Ok(Ok(()))).then_some(()).ok_or(Disconnected)
     }
 
+    /// Writes a response to the viewer.
     async fn send_response(&mut self, mut response: Response) -> Result<(), Disconnected> {
         response.insert_header(headers::SERVER, "ashglade");
         self.feed(Packet::Response(response)).await?;
@@ -264,7 +268,7 @@
                     Some(url) => {
                         let track = self.server.track();
                         let target = SetupTarget { node, address, url, track };
-                        let send = |marker| attempt::send(context, target, marker);
+                        let send = |marker| attempt::send_setup(context, target, marker);
                         session.attempt = Some(Attempt::start(session_id, setup, decided_at, send));
                     }
                     None => {
@@ -282,7 +286,8 @@
                 Ok(())
             }
             SessionCommand::CancelSetup { setup, if_unsent } => {
-                let matches = |a: &mut Attempt<_>| a.setup == setup && !(if_unsent && a.written());
+                let matches =
+                    |attempt: &mut Attempt<_>| attempt.setup == setup && !(if_unsent && attempt.written());
                 if let Some(attempt) = session.attempt.take_if(matches) {
                     let result = attempt.cancel().await;
                     self.report_setup_result(setup, result).await;
@@ -334,7 +339,7 @@
     /// Sends the response to a rejected request, and ends the session.
     async fn reject(&mut self, response: Response) -> Result<(), Disconnected> {
         self.send_response(response).await?;
-        // A SETUP may still be in flight if the setup timeout caused the response. Its outcome is reported as well.
+        // A SETUP may still be in flight if the setup timeout caused the response. Its outcome is still reported.
         self.end_session().await;
         Ok(())
     }
@@ -373,6 +378,7 @@
         }
     }
 
+    /// Reports the result of an attempt to the engine.
     async fn report_setup_result(&mut self, setup: SetupNumber, result: AttemptResult<Box<NodeSession>>) {
         let Some(session) = &mut self.session else { return };
         let (input, node) = attempt::setup_input(session.id, setup, result);
@@ -411,8 +417,8 @@
         self.flush().await
     }
 
-    /// Rewrites a frame for the viewer and queues it. Frames that are adjacent in the read buffer are joined without
-    /// copying.
+    /// Rewrites a frame for the viewer and queues it. Frames that are adjacent in the read buffer are joined
+    /// without copying.
     async fn relay_frame(&mut self, mut bytes: BytesMut) -> Result<(), Disconnected> {
         let now = self.context.clock.micros();
         let Some(session) = &mut self.session else { return Ok(()) };
@@ -483,7 +489,12 @@
     async fn node_lost(&mut self, how: AttemptOutcome) -> Result<(), Disconnected> {
         let Some(session) = &mut self.session else { return Ok(()) };
         let Some(node) = session.node.take() else { return Ok(()) };
-        info!(sess = session.id.0, ?how, node = %node.address, "session lost: the node's connection failed or the node didn't respond");
+        info!(
+            sess = session.id.0,
+            ?how,
+            node = %node.address,
+            "session lost: the node's connection failed or a response timed out"
+        );
         node.abandon(&self.context).await;
         self.context.engine.submit(Input::SessionEnded { session: session.id, outcome: how }).await;
         let Some(session) = self.session.take() else { return Ok(()) };
@@ -536,8 +547,8 @@
         Ok(())
     }
 
-    /// Ends the session because the viewer ended it or has disconnected: cancels its SETUP, tears it down at its node
-    /// and reports both to the engine.
+    /// Ends the session because the viewer ended it or has disconnected: cancels its SETUP, tears it down at
+    /// its node and reports both to the engine.
     async fn end_session(&mut self) {
         let Some(mut session) = self.session.take() else { return };
         let (engine, session_id) = (&self.context.engine, session.id);
--- a/crates/director/tests/hls.rs
+++ b/crates/director/tests/hls.rs
@@ -1,5 +1,5 @@
-//! The HLS front on loopback, against stand-in nodes. Checks what a player sees of signed URIs, of its rung, of a node
-//! lost between two segments, and of a director that doesn't know its session.
+//! The HLS front on loopback, against stand-in nodes. Checks what a player sees of signed URIs, of its rung,
+//! of a node lost between two segments, and of a director that doesn't know its session.
 
 mod support;
 
--- a/crates/director/tests/layers.rs
+++ b/crates/director/tests/layers.rs
@@ -1,6 +1,6 @@
-//! Guards against cyclic dependencies between the director's modules. `serve` is at the top, then come the fronts and
-//! the requests to nodes, then the connections to nodes, then the shared context. The engine's task and its handle
-//! depend on none of these.
+//! Guards against cyclic dependencies between the director's modules. `serve` is at the top, then come the
+//! fronts and the requests to nodes, then the connections to nodes, then the shared context. The engine's
+//! task and its handle depend on none of these.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
--- a/crates/director/tests/lists.rs
+++ b/crates/director/tests/lists.rs
@@ -1,6 +1,6 @@
-//! Node list files under a running director. Guards against a change that is missed (a rename into place, a swapped
-//! symbolic link), against an invalid or missing file that replaces a valid list, and against a failed start while the
-//! file is missing.
+//! Node list files under a running director. Guards against a change that is missed (a rename into place, a
+//! swapped symbolic link), against an invalid or missing file that replaces a valid list, and against a
+//! failed start while the file is missing.
 
 mod support;
 
@@ -103,8 +103,8 @@
     replace_file(&path, &node_list(2, &[second_node], "leaves_out: 1\n"));
     wait_for_setup(&director, &second_node_setups).await;
     let setups_before = first_node_setups.load(Ordering::SeqCst);
-    // The current list stays in force when the file is truncated in an entry, when a checksum shows that it is truncated
-    // between two entries, and when it is removed.
+    // The current list stays in force when the file is truncated in an entry, when a checksum shows that it
+    // is truncated between two entries, and when it is removed.
     std::fs::write(&path, &node_list(3, &[first_node, second_node], "")[..60]).unwrap();
     assert_eq!(setup_status(&director).await, 200);
     replace_file(&path, &node_list(3, &[first_node], "checksum: \"00000000\"\nleaves_out: 1\n"));
--- a/crates/director/tests/other_client.rs
+++ b/crates/director/tests/other_client.rs
@@ -1,5 +1,6 @@
-//! An independent RTSP client (retina) plays through a director and stand-in nodes. Guards against behaviour that only
-//! this project's own client accepts: DESCRIBE, SETUP of two tracks, PLAY, a change of rung, and a drain.
+//! An independent RTSP client (retina) plays through a director and stand-in nodes. Guards against behaviour
+//! that only this project's own client accepts: DESCRIBE, SETUP of two tracks, PLAY, a change of rung, and a
+//! drain.
 
 mod support;
 
--- a/crates/director/tests/support/mod.rs
+++ b/crates/director/tests/support/mod.rs
@@ -43,8 +43,8 @@
     director_of(&nodes.iter().map(|&node| (node, node)).collect::<Vec<_>>()).await
 }
 
-/// Reserves a port by a socket that is bound but doesn't listen: no other process gets it, while the director can still
-/// bind it with SO_REUSEADDR.
+/// Reserves a port by a socket that is bound but doesn't listen: no other process gets it, while the director
+/// can still bind it with SO_REUSEADDR.
 fn reserve_port() -> TcpSocket {
     let socket = TcpSocket::new_v4().unwrap();
     socket.set_reuseaddr(true).unwrap();
@@ -61,7 +61,8 @@
     })
 }
 
-/// Starts a director with nodes given by their RTSP and HLS addresses, and waits until it accepts connections.
+/// Starts a director with nodes given by their RTSP and HLS addresses, and waits until it accepts
+/// connections.
 pub async fn director_of(nodes: &[(SocketAddr, SocketAddr)]) -> Director {
     let folder = tempfile::tempdir().unwrap();
     let reserved_sockets = [reserve_port(), reserve_port()];
--- a/crates/director/tests/talk.rs
+++ b/crates/director/tests/talk.rs
@@ -1,5 +1,5 @@
-//! Directors that exchange messages on loopback. Guards against slow-start turns that nobody takes over from a director
-//! that is gone, and against forged datagrams.
+//! Directors that exchange messages on loopback. Guards against slow-start turns that nobody takes over from
+//! a director that is gone, and against forged datagrams.
 
 mod support;
 
@@ -28,7 +28,8 @@
     panic!("{expected:?} were not reached; the last turns were {last:?}");
 }
 
-/// Entry point of the child processes that the test below starts, each of them a director. Does nothing otherwise.
+/// Entry point of the child processes that the test below starts, each of them a director. Does nothing
+/// otherwise.
 #[tokio::test]
 async fn one_director() {
     let Ok(settings) = std::env::var("ASHGLADE_TEST_SETTINGS") else { return };
--- a/crates/director/tests/whole_path.rs
+++ b/crates/director/tests/whole_path.rs
@@ -1,5 +1,5 @@
-//! The whole path of a session on loopback, against scripted media nodes: what players and nodes see on their sockets
-//! when something fails between SETUP and the last frame.
+//! The whole path of a session on loopback, against scripted media nodes: what players and nodes see on their
+//! sockets when something fails between SETUP and the last frame.
 
 mod support;
 
@@ -120,8 +120,8 @@
     packet
 }
 
-/// Starts a node. `script` gets the number of the connection and each request on it. It returns the packets to write,
-/// none at all to reset the connection, or `None` to write nothing.
+/// Starts a node. `script` gets the number of the connection and each request on it. It returns the packets
+/// to write, none at all to reset the connection, or `None` to write nothing.
 async fn start_node<F>(trace: Trace, script: F) -> SocketAddr
 where
     F: Fn(usize, &Request) -> Option<Vec<Packet>> + Send + Sync + 'static,
@@ -174,7 +174,8 @@
     })
     .await;
     let director = director(&[node_without_title, node_with_title]).await;
-    // Sessions of this group must not be set up twice. A 404 proves that the session was not set up at the node.
+    // Sessions of this group must not be set up twice. A 404 proves that the session was not set up at the
+    // node.
     for viewer in 0..12 {
         let mut player = Player::open(director.address, &format!("?viewer={viewer}.0&group=event")).await;
         assert_eq!(player.status(Method::Setup).await, 200);
@@ -188,8 +189,8 @@
     let node = start_node(trace.clone(), |_, request| {
         let mut packets = vec![];
         if *request.method() == Method::Play {
-            // In one write: a frame before the response, and after it two frames of the session and one of no channel of
-            // the session.
+            // In one write: a frame before the response, and after it two frames of the session and one of no
+            // channel of the session.
             packets.push(Packet::Frame { channel: 0, payload: rtp_packet(65_535, 100, 9) });
             packets.push(Packet::Response(response_to(request, StatusCode::Ok)));
             packets.push(Packet::Frame { channel: 0, payload: rtp_packet(0, 200, 9) });
