--- a/crates/director/src/attempt.rs
+++ b/crates/director/src/attempt.rs
@@ -142,7 +142,7 @@
     let connection = context.pool.connect(address, context.settings.front.connect_timeout).await;
     let connection = connection.map_err(|_| (AttemptError::Failed(AttemptOutcome::Unreachable), None))?;
     let mut client = Client::new(url);
-    let request = client.setup(track, context.clock.micros());
+    let request = client.setup(track, context.clock.elapsed_micros());
     if !marker.mark_written(&context).await {
         context.pool.put(address, connection);
         return Err((AttemptError::Failed(AttemptOutcome::Unsent), None));
--- a/crates/director/src/engine_task.rs
+++ b/crates/director/src/engine_task.rs
@@ -90,7 +90,7 @@
 
 /// Runs until the last [`crate::engine_handle::EngineHandle`] is dropped.
 ///
-/// `recording` receives the rounds as JSON lines. `drained` is set when a draining engine has no sessions left.
+/// `recording` receives the rounds as JSON lines. `drained` is set once a draining engine is empty.
 pub async fn run(
     config: EngineTaskConfig,
     engine_config: EngineConfig,
@@ -124,7 +124,7 @@
     loop {
         let deadline =
             task.engine.next_deadline().into_iter().chain(task.ledger_store.ledger.next_deadline()).min();
-        let deadline = deadline.map(|at| clock.at(at));
+        let deadline = deadline.map(|at| clock.to_tokio(at));
         let wait_for_deadline = async {
             match deadline {
                 Some(at) => tokio::time::sleep_until(at).await,
--- a/crates/director/src/node_session.rs
+++ b/crates/director/src/node_session.rs
@@ -56,31 +56,31 @@
 
     /// Sets up a further track.
     pub async fn setup(&mut self, context: &DirectorContext, track: u8) -> Result<(), Fault> {
-        let request = self.client.setup(track, context.clock.micros());
+        let request = self.client.setup(track, context.clock.elapsed_micros());
         self.send(context, request).await
     }
 
     /// Sends PLAY, with the viewer's `Range` header if it sent one.
     pub async fn play(&mut self, context: &DirectorContext, range: Option<String>) -> Result<(), Fault> {
-        let request = self.client.play(range, context.clock.micros());
+        let request = self.client.play(range, context.clock.elapsed_micros());
         self.send(context, request).await
     }
 
     /// Sends PAUSE.
     pub async fn pause(&mut self, context: &DirectorContext) -> Result<(), Fault> {
-        let request = self.client.pause(context.clock.micros());
+        let request = self.client.pause(context.clock.elapsed_micros());
         self.send(context, request).await
     }
 
     /// Asks the node to switch from the rung `from` to the rendition at `to`.
     pub async fn switch(&mut self, context: &DirectorContext, from: u8, to: Url) -> Result<(), Fault> {
-        let request = self.client.switch(from, to, context.clock.micros());
+        let request = self.client.switch(from, to, context.clock.elapsed_micros());
         self.send(context, request).await
     }
 
     /// Sends a keep-alive, unless too many requests are unanswered.
     pub async fn keep_alive(&mut self, context: &DirectorContext) -> Result<(), Fault> {
-        match self.client.keep_alive(context.clock.micros()) {
+        match self.client.keep_alive(context.clock.elapsed_micros()) {
             Some(request) => self.send(context, request).await,
             None => Ok(()),
         }
@@ -100,7 +100,7 @@
     /// timeout.
     pub fn response_overdue(&self, context: &DirectorContext) -> bool {
         let timeout = context.settings.front.answer_timeout.as_micros() as u64;
-        self.client.overdue(context.clock.micros(), timeout)
+        self.client.overdue(context.clock.elapsed_micros(), timeout)
     }
 
     /// Drops the connection, as it is lost or unreliable, and leaves the tear-down to the ledger.
@@ -129,7 +129,7 @@
 
     /// Sends TEARDOWN and waits until the node confirms it.
     async fn send_teardown(&mut self, context: &DirectorContext) -> Result<(), Fault> {
-        let request = self.client.teardown(context.clock.micros());
+        let request = self.client.teardown(context.clock.elapsed_micros());
         self.send(context, request).await?;
         while let Some(packet) = self.connection.next().await {
             if let Packet::Response(response) = packet?
--- a/crates/director/src/session.rs
+++ b/crates/director/src/session.rs
@@ -65,7 +65,7 @@
     ) -> RtspSession {
         let track = |&clock_rate: &u32| Track {
             rewriter: Rewriter::new(context.random() as u32, clock_rate),
-            meter: Meter::new(clock_rate, context.clock.micros()),
+            meter: Meter::new(clock_rate, context.clock.elapsed_micros()),
             receiver_report: None,
         };
         RtspSession {
--- a/crates/director/src/viewer.rs
+++ b/crates/director/src/viewer.rs
@@ -339,7 +339,7 @@
     /// Sends the response to a rejected request, and ends the session.
     async fn reject(&mut self, response: Response) -> Result<(), Disconnected> {
         self.send_response(response).await?;
-        // A SETUP may still be in flight if the setup timeout caused the response. Its outcome is still reported.
+        // A SETUP may still be in flight if the setup timeout caused the response. Its outcome is reported too.
         self.end_session().await;
         Ok(())
     }
@@ -420,7 +420,7 @@
     /// Rewrites a frame for the viewer and queues it. Frames that are adjacent in the read buffer are joined
     /// without copying.
     async fn relay_frame(&mut self, mut bytes: BytesMut) -> Result<(), Disconnected> {
-        let now = self.context.clock.micros();
+        let now = self.context.clock.elapsed_micros();
         let Some(session) = &mut self.session else { return Ok(()) };
         let frame = session.rewrite_frame(bytes[1], &mut bytes[FRAME_HEADER..], now);
         let channels = |track| self.server.channels(track);
@@ -464,7 +464,7 @@
         let reply = match node.client.answered(&response) {
             client::Answer::Done(Purpose::Setup { track }) => self.server.track_granted(session.ssrc(track)),
             client::Answer::Done(Purpose::Play) => {
-                session.start_playing(context.clock.micros());
+                session.start_playing(context.clock.elapsed_micros());
                 let range = messages::header(&response, &headers::RANGE);
                 let info = messages::header(&response, &headers::RTP_INFO).map(|info| session.rtp_info(info));
                 let reply = self.server.plays(range, info.as_deref());
@@ -532,8 +532,9 @@
             return self.node_lost(AttemptOutcome::Silent).await;
         }
         if self.server.state() == State::Playing
-            && let Some(share) =
-                session.delivered_share(context.clock.micros(), |track| self.server.channels(track).is_some())
+            && let Some(share) = session.delivered_share(context.clock.elapsed_micros(), |track| {
+                self.server.channels(track).is_some()
+            })
         {
             context.engine.submit(Input::SessionDelivery { session: session.id, share }).await;
         }
