--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -84,8 +84,11 @@
                 Ok(runtime) => runtime,
                 Err(error) => return fail(error),
             };
-            let served =
-                runtime.block_on(ashglade_director::serve(Options { settings, record, defect: None }));
+            let served = runtime.block_on(ashglade_director::serve(Options {
+                settings,
+                record,
+                injected_fault: None,
+            }));
             // Tasks that still wait for a socket are not waited for.
             runtime.shutdown_background();
             served.map_or_else(fail, |()| ExitCode::SUCCESS)
@@ -154,14 +157,15 @@
 
 fn show(path: &std::path::Path) -> Result<String, String> {
     let (settings, ..) = ashglade_director::load(path).map_err(|e| e.to_string())?;
-    let at = ashglade_director::shared_view(&settings, path).ok_or("settings name no talk.share.view")?;
+    let at =
+        ashglade_director::peer_status_path(&settings, path).ok_or("settings name no talk.share.view")?;
     let (view, age) = view::<ashglade_peer_transport::PeerStatus>(&at)?;
     Ok(format!("as it was {age:.0} s ago\n{view}"))
 }
 
 fn door(path: &std::path::Path) -> Result<String, String> {
     let (settings, ..) = ashglade_director::load(path).map_err(|e| e.to_string())?;
-    let at = ashglade_director::door_view(&settings, path).ok_or("settings name no door.view")?;
+    let at = ashglade_director::admission_status_path(&settings, path).ok_or("settings name no door.view")?;
     let (view, age) = view::<ashglade_engine::AdmissionStatus>(&at)?;
     let mut told =
         format!("as it was {age:.0} s ago\nset-ups in hand {} of {:.0}\n", view.in_flight, view.limit);
@@ -187,7 +191,7 @@
 fn replay(settings: &std::path::Path, record: &std::path::Path) -> Result<(usize, usize), String> {
     let (settings, ..) = ashglade_director::load(settings).map_err(|e| e.to_string())?;
     let text = std::fs::read_to_string(record).map_err(|e| format!("{}: {e}", record.display()))?;
-    ashglade_engine::record::replay(ashglade_director::replay_start(&settings), &text)
+    ashglade_engine::record::replay(ashglade_director::engine_config(&settings), &text)
         .map_err(|e| format!("{}: {e}", record.display()))
 }
 
--- a/crates/director/src/lib.rs
+++ b/crates/director/src/lib.rs
@@ -22,4 +22,4 @@
 pub use ashglade_peer_transport::InjectedFault;
 pub use files::StartupError;
 pub use node_lists::NodeListFiles;
-pub use serve::{Options, door_view, load, replay_start, serve, shared_view};
+pub use serve::{Options, admission_status_path, engine_config, load, peer_status_path, serve};
--- a/crates/director/src/serve.rs
+++ b/crates/director/src/serve.rs
@@ -38,7 +38,7 @@
     pub record: Option<PathBuf>,
     /// Fault in the exchange between directors, injected by the lab to check that its judge detects it. No
     /// command of the director sets it.
-    pub defect: Option<ashglade_peer_transport::InjectedFault>,
+    pub injected_fault: Option<ashglade_peer_transport::InjectedFault>,
 }
 
 /// Reads and checks the settings and the node lists. Returns the settings, the node list that a director
@@ -51,19 +51,19 @@
 }
 
 /// Returns the file to which a director with these settings writes the status of its admission queue.
-pub fn door_view(settings: &Settings, path: &Path) -> Option<PathBuf> {
+pub fn admission_status_path(settings: &Settings, path: &Path) -> Option<PathBuf> {
     let view = settings.door.as_ref()?.view.as_ref()?;
     Some(resolve_path(path, view))
 }
 
 /// Returns the file to which a director with these settings writes its view of other directors and of nodes.
-pub fn shared_view(settings: &Settings, path: &Path) -> Option<PathBuf> {
+pub fn peer_status_path(settings: &Settings, path: &Path) -> Option<PathBuf> {
     let view = settings.talk.as_ref()?.share.as_ref()?.view.as_ref()?;
     Some(resolve_path(path, view))
 }
 
 /// Returns the engine's configuration from the settings.
-pub fn replay_start(settings: &Settings) -> EngineConfig {
+pub fn engine_config(settings: &Settings) -> EngineConfig {
     let headend = &settings.headend;
     EngineConfig {
         director: headend.clone(),
@@ -142,7 +142,7 @@
     let ledger_store = open_ledger(&settings, &options.settings, clock.now())?;
     let (setup_results, setup_result_receiver) = mpsc::channel(ENGINE_QUEUE_CAPACITY);
     let peer_transport = peer_socket.and_then(|socket| {
-        let status_path = shared_view(&settings, &options.settings);
+        let status_path = peer_status_path(&settings, &options.settings);
         ashglade_peer_transport::PeerTransport::new(
             &settings,
             socket,
@@ -151,17 +151,17 @@
             status_path,
         )
         .map(|mut transport| {
-            transport.config.injected_fault = options.defect;
+            transport.config.injected_fault = options.injected_fault;
             transport
         })
     });
     // Results of SETUPs go to other directors only where `talk.share` is set.
     let setup_results = settings.talk.as_ref().and_then(|talk| talk.share.as_ref()).map(|_| setup_results);
-    let engine_config = replay_start(&settings);
+    let engine_config = engine_config(&settings);
     let (node_requests, node_request_receiver) = mpsc::channel(ENGINE_QUEUE_CAPACITY);
     let task_config = EngineTaskConfig {
         clock,
-        admission_status_path: door_view(&settings, &options.settings),
+        admission_status_path: admission_status_path(&settings, &options.settings),
         node_requests,
     };
     tokio::spawn(engine_task::run(
--- a/crates/director/tests/lists.rs
+++ b/crates/director/tests/lists.rs
@@ -146,8 +146,11 @@
     std::fs::copy(folder.join("boxes.txtpb"), &kept).unwrap();
     let (_, list, _) = load().unwrap();
     assert_eq!(list.entries[0].address, first_node);
-    let options =
-        ashglade_director::Options { settings: folder.join("second.txtpb"), record: None, defect: None };
+    let options = ashglade_director::Options {
+        settings: folder.join("second.txtpb"),
+        record: None,
+        injected_fault: None,
+    };
     tokio::spawn(async move { ashglade_director::serve(options).await.unwrap() });
     let second = Director { address: spare_addresses[0].1.parse().unwrap(), ..director };
     let before = first_node_setups.load(Ordering::SeqCst);
--- a/crates/director/tests/support/mod.rs
+++ b/crates/director/tests/support/mod.rs
@@ -82,7 +82,7 @@
     std::fs::write(folder.path().join("boxes.txtpb"), boxes).unwrap();
     let path = folder.path().join("headend.txtpb");
     std::fs::write(&path, settings).unwrap();
-    let options = ashglade_director::Options { settings: path, record: None, defect: None };
+    let options = ashglade_director::Options { settings: path, record: None, injected_fault: None };
     tokio::spawn(async move { ashglade_director::serve(options).await.unwrap() });
     loop {
         if TcpStream::connect(address).await.is_ok() {
--- a/crates/director/tests/talk.rs
+++ b/crates/director/tests/talk.rs
@@ -36,9 +36,13 @@
     let settings = std::path::PathBuf::from(settings);
     let recording = Some(settings.with_extension("rounds"));
     println!("starts");
-    ashglade_director::serve(ashglade_director::Options { settings, record: recording, defect: None })
-        .await
-        .unwrap();
+    ashglade_director::serve(ashglade_director::Options {
+        settings,
+        record: recording,
+        injected_fault: None,
+    })
+    .await
+    .unwrap();
 }
 
 #[tokio::test]
--- a/crates/lab/src/emulator/world.rs
+++ b/crates/lab/src/emulator/world.rs
@@ -188,7 +188,7 @@
             let text = directors::headend(day, number, "127.0.0.1:554", "127.0.0.1:80", Some(peers))?;
             let mut settings = ashglade_settings::settings("headend", &text).map_err(|e| e.to_string())?;
             settings.door = settings.door.filter(|_| door);
-            starts.push((ashglade_director::replay_start(&settings), Talker::new(&settings)));
+            starts.push((ashglade_director::engine_config(&settings), Talker::new(&settings)));
             first.get_or_insert(settings);
         }
         let settings = first.ok_or("a day needs a director")?;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -167,7 +167,7 @@
             tracing_subscriber::fmt().with_ansi(false).with_writer(std::io::stderr).init();
             run(async {
                 let defect = defect.as_deref().map(fleet::defect).transpose()?;
-                let served = ashglade_director::serve(Options { settings, record, defect });
+                let served = ashglade_director::serve(Options { settings, record, injected_fault: defect });
                 served.await.map_err(|e| e.to_string())
             })
             .map(|()| true)
