--- a/crates/director/src/attempt.rs
+++ b/crates/director/src/attempt.rs
@@ -52,6 +52,7 @@
 
 /// An attempt in progress, by either front. Its task sends the SETUP and waits for the response.
 pub struct Attempt<T> {
+    /// The engine's number of the SETUP.
     pub setup: SetupNumber,
     task: JoinHandle<AttemptResult<T>>,
     /// Set before the first byte of the SETUP is written.
@@ -60,7 +61,9 @@
 
 /// Marks a SETUP as written. Used by the task that sends it, just before the first byte.
 pub struct WriteMarker {
+    /// The session that the SETUP is for.
     pub session_id: SessionId,
+    /// The engine's number of the SETUP.
     pub setup: SetupNumber,
     /// When the engine decided on the SETUP.
     decided_at: Instant,
@@ -126,7 +129,9 @@
 /// Target of a SETUP by RTSP.
 pub struct SetupTarget {
     pub node: NodeId,
+    /// Address at which the node serves RTSP.
     pub address: SocketAddr,
+    /// URL of the title at the node, at the rung to set up.
     pub url: Url,
     /// The track that the viewer sets up first.
     pub track: u8,
--- a/crates/director/src/context.rs
+++ b/crates/director/src/context.rs
@@ -39,8 +39,7 @@
 }
 
 impl DirectorContext {
-    /// Returns an identifier that no other session has, including those that an earlier run left in the
-    /// ledger.
+    /// Returns an identifier that no other session has, including those of earlier runs.
     pub fn new_session_id(&self) -> SessionId {
         SessionId(self.next_session_id.fetch_add(1, Ordering::Relaxed))
     }
--- a/crates/director/src/engine_handle.rs
+++ b/crates/director/src/engine_handle.rs
@@ -79,6 +79,7 @@
 }
 
 impl EngineHandle {
+    /// Returns a handle and the receiver that the engine's task reads.
     pub fn new() -> (EngineHandle, mpsc::Receiver<EngineMessage>) {
         let (messages, receiver) = mpsc::channel(ENGINE_QUEUE_CAPACITY);
         (EngineHandle { messages }, receiver)
@@ -89,9 +90,10 @@
         self.send(EngineMessage::Input(input)).await;
     }
 
-    pub async fn send(&self, command: EngineMessage) {
+    /// Queues a message for the engine's task. Waits while the queue is full.
+    pub async fn send(&self, message: EngineMessage) {
         // The send fails only when the process ends: the engine's task lives as long.
-        let _ = self.messages.send(command).await;
+        let _ = self.messages.send(message).await;
     }
 
     /// Returns the engine's counters and the number of its sessions.
@@ -115,8 +117,8 @@
     commands: &mut mpsc::Receiver<SessionCommand>,
 ) {
     commands.close();
-    while let Ok(order) = commands.try_recv() {
-        if let SessionCommand::SendSetup { setup, .. } = order {
+    while let Ok(command) = commands.try_recv() {
+        if let SessionCommand::SendSetup { setup, .. } = command {
             engine
                 .submit(Input::SetupFailed {
                     session: session_id,
--- a/crates/director/src/engine_task.rs
+++ b/crates/director/src/engine_task.rs
@@ -25,7 +25,9 @@
 ///
 /// Without a file the ledger is kept in memory only.
 pub struct LedgerStore {
+    /// Sessions held at nodes and pending tear-downs.
     pub ledger: Ledger,
+    /// The journal, opened for appending.
     pub file: Option<std::fs::File>,
 }
 
--- a/crates/director/src/hls/mod.rs
+++ b/crates/director/src/hls/mod.rs
@@ -53,11 +53,14 @@
 /// Name of the multivariant playlist in a title's folder.
 const MULTIVARIANT_PLAYLIST: &str = "index.m3u8";
 
-/// The HLS front: the director's context, the keys that sign tokens, and the sessions by identifier.
+/// State of the HLS front, shared by its connections and sessions.
 pub struct HlsFront {
     pub context: Arc<DirectorContext>,
+    /// Keys that sign and verify tokens and paths.
     pub keys: Keys,
+    /// The time after which a token expires.
     pub token_lifetime: Duration,
+    /// Request queues of the sessions' tasks, by the session in the token.
     sessions: Mutex<HashMap<SessionId, mpsc::Sender<PlayerRequest>>>,
 }
 
--- a/crates/director/src/hls/session.rs
+++ b/crates/director/src/hls/session.rs
@@ -27,12 +27,17 @@
 
 /// Parameters of a new session.
 pub struct SessionParams {
+    /// Name of the title, as in the settings.
     pub title: String,
     /// Query of the player's first request. It is passed on to the node.
     pub query: String,
+    /// Token by which the player's further requests name the session.
     pub token: Token,
+    /// The request as sent to the engine.
     pub viewer_request: ViewerRequest,
+    /// Commands of the engine.
     pub commands: mpsc::Receiver<SessionCommand>,
+    /// Further requests of the player.
     pub requests: mpsc::Receiver<PlayerRequest>,
     /// Receives the response to the player's first request.
     pub reply: oneshot::Sender<Reply>,
--- a/crates/director/src/lib.rs
+++ b/crates/director/src/lib.rs
@@ -13,10 +13,10 @@
 mod node_session;
 mod pool;
 mod probe;
+mod rtsp_connection;
+mod rtsp_session;
 mod serve;
-mod session;
 mod teardown;
-mod viewer;
 
 pub use ashglade_clock::Clock;
 pub use ashglade_peer_transport::InjectedFault;
--- a/crates/director/src/node_lists.rs
+++ b/crates/director/src/node_lists.rs
@@ -41,10 +41,12 @@
 /// A file's text, or why it can't be read.
 type FileContent = Result<String, String>;
 
+/// Reads a file; the error names it.
 fn read_file(path: &Path) -> FileContent {
     std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))
 }
 
+/// Parses a file's text as a node list.
 fn parse_list(path: &Path, text: &FileContent, names: &Names) -> SourceRead {
     match text.as_ref().map(|text| ashglade_settings::watched_boxes(&path.display().to_string(), text, names))
     {
@@ -54,6 +56,7 @@
     }
 }
 
+/// Reads and parses a source.
 fn read_source(path: &Path, names: &Names) -> SourceRead {
     parse_list(path, &read_file(path), names)
 }
@@ -146,8 +149,8 @@
 /// Reads the sources again whenever they may have changed, and passes each new list in force to the engine.
 pub async fn follow(context: Arc<DirectorContext>, files: NodeListFiles, mut merger: SourceMerger) {
     let names = context.settings.names.clone();
-    let (change_sender, mut change_receiver) = mpsc::channel::<()>(1);
     // One queued notification stands for any number of changes, as all sources are read.
+    let (change_sender, mut change_receiver) = mpsc::channel::<()>(1);
     let list_names: Vec<_> =
         files.sources.iter().filter_map(|path| path.file_name().map(OsStr::to_owned)).collect();
     let watcher = notify::recommended_watcher(move |event: notify::Result<notify::Event>| {
@@ -166,8 +169,7 @@
             warn!(folder = %folder.display(), %error, "can't watch the folder; its node lists are polled");
         }
     }
-    // Files are compared by content. Modification times are unreliable: a clock change or a copy can set
-    // them.
+    // Compared by content, as modification times are unreliable: a clock change or a copy can set them.
     let mut last_contents: Vec<Option<FileContent>> = vec![None; files.sources.len()];
     write_kept_list(&files, merger.current(), &names);
     let mut tick = tokio::time::interval(context.settings.front.list_poll);
--- a/crates/director/src/node_session.rs
+++ b/crates/director/src/node_session.rs
@@ -19,7 +19,9 @@
 /// A session at a node, with its connection.
 pub struct NodeSession {
     pub node: NodeId,
+    /// Address at which the node serves RTSP.
     pub address: SocketAddr,
+    /// State machine of the session's requests and responses.
     pub client: Client,
     connection: Connection,
     /// Key of the session's entry in the ledger.
--- a/crates/director/src/viewer.rs
+++ b/crates/director/src/rtsp_connection.rs
@@ -28,7 +28,7 @@
 use crate::context::DirectorContext;
 use crate::engine_handle::{self, EngineMessage, SESSION_QUEUE_CAPACITY, SessionCommand};
 use crate::node_session::NodeSession;
-use crate::session::{FrameKind, RtspSession};
+use crate::rtsp_session::{FrameKind, RtspSession};
 
 /// Maximum number of requests queued behind the one in progress.
 const MAX_QUEUED_REQUESTS: usize = 16;
@@ -339,7 +339,7 @@
     /// Sends the response to a rejected request, and ends the session.
     async fn reject(&mut self, response: Response) -> Result<(), Disconnected> {
         self.send_response(response).await?;
-        // A SETUP may still be in flight if the setup timeout caused the response. Its outcome is reported too.
+        // A SETUP may still be in flight if the engine responded at the deadline. Its outcome is reported too.
         self.end_session().await;
         Ok(())
     }
--- a/crates/director/src/session.rs
+++ b/crates/director/src/rtsp_session.rs
@@ -15,6 +15,7 @@
 
 /// An RTSP session, from the viewer's request to its end.
 pub struct RtspSession {
+    /// The engine's identifier of the session.
     pub id: SessionId,
     /// What the viewer requested by its URL.
     pub requested: Asked,
@@ -28,6 +29,7 @@
     pub rung: u8,
     /// The rung last requested from the node.
     pub node_rung: u8,
+    /// When the last keep-alive to the node was due.
     pub last_keep_alive: Instant,
     tracks: Vec<Track>,
 }
--- a/crates/director/src/serve.rs
+++ b/crates/director/src/serve.rs
@@ -26,7 +26,7 @@
 use crate::files::{StartupError, read_file, replace_file, resolve_path};
 use crate::node_lists::{self, NodeListFiles};
 use crate::pool::ConnectionPool;
-use crate::{node_requests, viewer};
+use crate::{node_requests, rtsp_connection};
 use ashglade_clock::Clock;
 
 /// Options of a director's start.
@@ -197,7 +197,7 @@
                 (Ok((stream, _)), Ok(permit)) => {
                     let context = context.clone();
                     tokio::spawn(async move {
-                        viewer::run(context, stream).await;
+                        rtsp_connection::run(context, stream).await;
                         drop(permit);
                     });
                 }
--- a/crates/director/tests/layers.rs
+++ b/crates/director/tests/layers.rs
@@ -56,8 +56,8 @@
     }
     expect_test::expect![[r#"
         serve
-        node_requests viewer
-        hls probe session
+        node_requests rtsp_connection
+        hls probe rtsp_session
         attempt
         node_lists node_session teardown
         context engine_task
--- a/crates/director/tests/talk.rs
+++ b/crates/director/tests/talk.rs
@@ -28,8 +28,7 @@
     panic!("{expected:?} were not reached; the last turns were {last:?}");
 }
 
-/// Entry point of the child processes that the test below starts, each of them a director. Does nothing
-/// otherwise.
+/// Runs a director in a child process that the test below starts. Does nothing otherwise.
 #[tokio::test]
 async fn one_director() {
     let Ok(settings) = std::env::var("ASHGLADE_TEST_SETTINGS") else { return };
