--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -108,7 +108,7 @@
                     "{} service groups, {} titles, {} rungs; {}: generation {}, {} media nodes",
                     settings.group_names.len(),
                     settings.titles.len(),
-                    settings.headend.ladder.len(),
+                    settings.director_config.ladder.len(),
                     boxes
                         .sources
                         .iter()
--- a/crates/director/src/attempt.rs
+++ b/crates/director/src/attempt.rs
@@ -76,7 +76,7 @@
     /// another director holds by now. Applies only where directors share resources.
     pub async fn mark_written(&self, context: &DirectorContext) -> bool {
         let max_delay = ashglade_peer_transport::max_send_delay(&context.settings);
-        if context.settings.talk.is_some() && context.clock.now() - self.decided_at > max_delay {
+        if context.settings.peering.is_some() && context.clock.now() - self.decided_at > max_delay {
             return false;
         }
         self.written.store(true, Ordering::SeqCst);
@@ -144,7 +144,7 @@
     marker: WriteMarker,
 ) -> AttemptResult<Box<NodeSession>> {
     let SetupTarget { node, address, url, track } = target;
-    let connection = context.pool.connect(address, context.settings.front.connect_timeout).await;
+    let connection = context.pool.connect(address, context.settings.rtsp.connect_timeout).await;
     let connection = connection.map_err(|_| (AttemptError::Failed(AttemptOutcome::Unreachable), None))?;
     let mut client = Client::new(url);
     let request = client.setup(track, context.clock.elapsed_micros());
--- a/crates/director/src/context.rs
+++ b/crates/director/src/context.rs
@@ -56,7 +56,7 @@
         peer: impl FnOnce() -> String,
     ) -> ViewerRequest {
         let settings = &self.settings;
-        let admission = settings.door.as_ref();
+        let admission = settings.admission.as_ref();
         let client = admission.and_then(|admission| admission.client_query.as_deref()).and_then(&query_value);
         let tenant = admission.and_then(|admission| admission.tenant_query.as_deref()).and_then(&query_value);
         let mut hasher = SipHasher13::new();
@@ -65,10 +65,10 @@
             group,
             title: ashglade::ids::TitleId(title.id),
             top_rung: Rung(top_rung.min(settings.top_rung())),
-            first_cell: title.home,
-            cell_count: title.copies,
+            first_cell: title.first_cell,
+            cell_count: title.cell_count,
             setup_timeout: settings.setup_timeouts[group.0],
-            tenant: settings.tenant(tenant.as_deref()),
+            tenant: settings.tenant_index(tenant.as_deref()),
             client: hasher.finish(),
         }
     }
--- a/crates/director/src/files.rs
+++ b/crates/director/src/files.rs
@@ -12,7 +12,7 @@
     Read { path: PathBuf, source: std::io::Error },
     /// The settings are invalid.
     #[error(transparent)]
-    Settings(#[from] ashglade_settings::Trouble),
+    Settings(#[from] ashglade_settings::SettingsError),
     /// The node list kept by an earlier run is invalid.
     #[error("{path}: {source}")]
     List { path: PathBuf, source: ashglade_discovery::ListError },
--- a/crates/director/src/hls/fetch.rs
+++ b/crates/director/src/hls/fetch.rs
@@ -57,7 +57,7 @@
     url: Url,
     marker: WriteMarker,
 ) -> AttemptResult<AcceptedSession> {
-    let timeout = context.settings.front.connect_timeout;
+    let timeout = context.settings.rtsp.connect_timeout;
     let connected = tokio::time::timeout(timeout, TcpStream::connect(node.1)).await;
     let Ok(Ok(stream)) = connected else {
         return Err((AttemptError::Failed(AttemptOutcome::Unreachable), None));
@@ -137,7 +137,7 @@
     if let Some(range) = range {
         request.headers_mut().insert(RANGE, range);
     }
-    let timeout = context.settings.front.answer_timeout;
+    let timeout = context.settings.rtsp.answer_timeout;
     match tokio::time::timeout(timeout, client.request(request)).await {
         Ok(Ok(response)) => Ok(response),
         Ok(Err(_)) => Err(FetchError::Disconnected),
@@ -152,7 +152,7 @@
 ) -> Result<(StatusCode, Option<LoadReport>, Bytes), FetchError> {
     let response = get(context, url, None).await?;
     let (status, load) = (response.status(), load_report(&response));
-    let timeout = context.settings.front.answer_timeout;
+    let timeout = context.settings.rtsp.answer_timeout;
     let body = Limited::new(response.into_body(), MOST_BYTES + 1).collect();
     match tokio::time::timeout(timeout, body).await {
         Ok(Ok(body)) => Ok((status, load, body.to_bytes())),
--- a/crates/director/src/hls/mod.rs
+++ b/crates/director/src/hls/mod.rs
@@ -14,7 +14,7 @@
 use ashglade::ids::{SessionId, TitleId};
 use ashglade_engine::Input;
 use ashglade_hls::{Ask, Forged, Key, Keys, Token};
-use ashglade_settings::Hls;
+use ashglade_settings::HlsSettings;
 use bytes::Bytes;
 use http_body_util::combinators::BoxBody;
 use http_body_util::{BodyExt, Full};
@@ -65,13 +65,17 @@
 }
 
 /// Accepts players' connections for as long as the director runs.
-pub async fn run(context: Arc<DirectorContext>, listener: TcpListener, settings: Hls) {
+pub async fn run(context: Arc<DirectorContext>, listener: TcpListener, settings: HlsSettings) {
     let keys = settings.keys.iter().map(|(id, secret)| Key { id: *id, secret: secret.clone().into_bytes() });
     let Some(keys) = Keys::new(keys.collect()) else { return };
-    let front =
-        Arc::new(HlsFront { context, keys, token_lifetime: settings.token_life, sessions: Mutex::default() });
+    let front = Arc::new(HlsFront {
+        context,
+        keys,
+        token_lifetime: settings.token_lifetime,
+        sessions: Mutex::default(),
+    });
     // Beyond the connection limit, players wait in the kernel's accept queue.
-    let connection_permits = Arc::new(Semaphore::new(settings.most_connections));
+    let connection_permits = Arc::new(Semaphore::new(settings.max_connections));
     loop {
         let Ok(permit) = connection_permits.clone().acquire_owned().await else { return };
         match listener.accept().await {
@@ -92,7 +96,7 @@
 
 /// Serves the requests on one player's connection.
 async fn serve_connection(front: Arc<HlsFront>, stream: TcpStream) {
-    let settings = &front.context.settings.front;
+    let settings = &front.context.settings.rtsp;
     let _ = stream.set_nodelay(true);
     let peer = stream.peer_addr().map(|peer| peer.ip().to_string()).unwrap_or_default();
     let mut stream = tokio_io_timeout::TimeoutStream::new(stream);
@@ -255,7 +259,7 @@
                 .find(|(key, _)| key == name)
                 .map(|(_, value)| value.into_owned())
         };
-        let Some(group) = settings.group_of(query_value("group").as_deref(), title_settings) else {
+        let Some(group) = settings.resolve_group(query_value("group").as_deref(), title_settings) else {
             return Err(text_reply(StatusCode::NOT_FOUND, "there is no such service group"));
         };
         let top_rung = match query_value("top").map(|top_rung| top_rung.parse::<u8>()) {
@@ -287,10 +291,10 @@
         };
         let session_count =
             |front: &HlsFront| front.sessions.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).len();
-        if session_count(self) >= settings.most_sessions {
+        if session_count(self) >= settings.max_sessions {
             return Err(busy_reply(
                 "too many sessions",
-                settings.headend.max_retry_after.map(|s| s.as_ms() / 1e3),
+                settings.director_config.max_retry_after.map(|s| s.as_ms() / 1e3),
             ));
         }
         self.sessions.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).insert(session_id, requests);
--- a/crates/director/src/hls/session.rs
+++ b/crates/director/src/hls/session.rs
@@ -198,7 +198,7 @@
 
     /// Returns the rate of a rung for the session's service group, in kB/s.
     fn rung_rate(&self, rung: Rung) -> f64 {
-        let headend = &self.front.context.settings.headend;
+        let headend = &self.front.context.settings.director_config;
         let rate_scale =
             headend.groups.get(self.viewer_request.group.0).map_or(1.0, |group| group.rate_scale);
         headend.ladder.get(usize::from(rung.0)).map_or(0.0, |&(kb, _)| kb * rate_scale)
@@ -504,8 +504,12 @@
         context.engine.send(EngineMessage::CloseSession(self.session_id)).await;
         self.accepted = None;
         self.playlist_cache.clear();
-        let retry_safety =
-            context.settings.headend.groups.get(self.viewer_request.group.0).map(|group| group.retry_safety);
+        let retry_safety = context
+            .settings
+            .director_config
+            .groups
+            .get(self.viewer_request.group.0)
+            .map(|group| group.retry_safety);
         if retry_safety != Some(RetrySafety::Safe) {
             self.state.over();
         }
--- a/crates/director/src/node_lists.rs
+++ b/crates/director/src/node_lists.rs
@@ -11,7 +11,7 @@
 use ashglade_discovery::NodeList;
 use ashglade_discovery::sources::{SourceEvent, SourceMerger, SourceRead};
 use ashglade_engine::Input;
-use ashglade_settings::{Names, Settings};
+use ashglade_settings::{HeadendNames, Settings};
 use notify::Watcher as _;
 use tokio::sync::mpsc;
 use tracing::{info, warn};
@@ -32,8 +32,8 @@
     /// `path` is the settings file, to which the other paths are relative.
     pub fn new(settings: &Settings, path: &Path) -> NodeListFiles {
         NodeListFiles {
-            sources: settings.box_lists.iter().map(|name| files::resolve_path(path, name)).collect(),
-            kept: settings.kept_list.as_ref().map(|name| files::resolve_path(path, name)),
+            sources: settings.node_list_paths.iter().map(|name| files::resolve_path(path, name)).collect(),
+            kept: settings.saved_list_path.as_ref().map(|name| files::resolve_path(path, name)),
         }
     }
 }
@@ -47,9 +47,10 @@
 }
 
 /// Parses a file's text as a node list.
-fn parse_list(path: &Path, text: &FileContent, names: &Names) -> SourceRead {
-    match text.as_ref().map(|text| ashglade_settings::watched_boxes(&path.display().to_string(), text, names))
-    {
+fn parse_list(path: &Path, text: &FileContent, names: &HeadendNames) -> SourceRead {
+    match text.as_ref().map(|text| {
+        ashglade_settings::parse_node_list_with_omissions(&path.display().to_string(), text, names)
+    }) {
         Ok(Ok((list, leaves_out))) => SourceRead::List { list, leaves_out },
         Ok(Err(error)) => SourceRead::Unreadable { reason: error.to_string() },
         Err(why) => SourceRead::Unreadable { reason: why.clone() },
@@ -57,7 +58,7 @@
 }
 
 /// Reads and parses a source.
-fn read_source(path: &Path, names: &Names) -> SourceRead {
+fn read_source(path: &Path, names: &HeadendNames) -> SourceRead {
     parse_list(path, &read_file(path), names)
 }
 
@@ -68,7 +69,7 @@
     files: &NodeListFiles,
     now: ashglade::time::Instant,
 ) -> Result<(SourceMerger, NodeList), StartupError> {
-    let hold = Span::from_secs(settings.list_hold.as_secs_f64());
+    let hold = Span::from_secs(settings.list_hold_period.as_secs_f64());
     let mut merger = SourceMerger::new(files.sources.len(), hold);
     let reads: Vec<SourceRead> =
         files.sources.iter().map(|path| read_source(path, &settings.names)).collect();
@@ -121,9 +122,9 @@
 }
 
 /// Writes the list in force to a file, for a later start without another list.
-fn write_kept_list(files: &NodeListFiles, list: Option<&NodeList>, names: &Names) {
+fn write_kept_list(files: &NodeListFiles, list: Option<&NodeList>, names: &HeadendNames) {
     if let (Some(path), Some(list)) = (&files.kept, list)
-        && let Err(error) = files::replace_file(path, &ashglade_settings::write_boxes(list, names))
+        && let Err(error) = files::replace_file(path, &ashglade_settings::format_node_list(list, names))
     {
         warn!(path = %path.display(), %error, "writing the node list in force failed");
     }
@@ -172,7 +173,7 @@
     // Compared by content, as modification times are unreliable: a clock change or a copy can set them.
     let mut last_contents: Vec<Option<FileContent>> = vec![None; files.sources.len()];
     write_kept_list(&files, merger.current(), &names);
-    let mut tick = tokio::time::interval(context.settings.front.list_poll);
+    let mut tick = tokio::time::interval(context.settings.rtsp.list_poll_interval);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
--- a/crates/director/src/node_session.rs
+++ b/crates/director/src/node_session.rs
@@ -53,7 +53,7 @@
     async fn send(&mut self, context: &DirectorContext, request: Request) -> Result<(), Fault> {
         let sending = self.connection.send(Packet::Request(request));
         let timed_out = |_| Fault::Io(std::io::ErrorKind::TimedOut.into());
-        tokio::time::timeout(context.settings.front.write_timeout, sending).await.map_err(timed_out)?
+        tokio::time::timeout(context.settings.rtsp.write_timeout, sending).await.map_err(timed_out)?
     }
 
     /// Sets up a further track.
@@ -101,7 +101,7 @@
     /// Whether a response that the viewer waits for has been outstanding for longer than the response
     /// timeout.
     pub fn response_overdue(&self, context: &DirectorContext) -> bool {
-        let timeout = context.settings.front.answer_timeout.as_micros() as u64;
+        let timeout = context.settings.rtsp.answer_timeout.as_micros() as u64;
         self.client.overdue(context.clock.elapsed_micros(), timeout)
     }
 
@@ -116,7 +116,7 @@
     /// Tears the session down and returns the connection to the pool. If the node doesn't respond in time,
     /// the connection is dropped and the tear-down left to the ledger.
     pub async fn tear_down(mut self, context: Arc<DirectorContext>) {
-        let timeout = context.settings.front.answer_timeout;
+        let timeout = context.settings.rtsp.answer_timeout;
         match tokio::time::timeout(timeout, self.send_teardown(&context)).await {
             Ok(Ok(())) => {
                 context
--- a/crates/director/src/probe.rs
+++ b/crates/director/src/probe.rs
@@ -21,7 +21,7 @@
 
 /// Requests a node's load. Returns `None` if the connection failed or the response reports none.
 async fn request_load(context: &DirectorContext, node: SocketAddr) -> Option<LoadReport> {
-    let mut connection = context.pool.connect(node, context.settings.front.connect_timeout).await.ok()?;
+    let mut connection = context.pool.connect(node, context.settings.rtsp.connect_timeout).await.ok()?;
     let url = Url::parse(&format!("rtsp://{node}/")).ok()?;
     let mut request = messages::request(Method::GetParameter, &url, 1);
     request.insert_header(headers::CONTENT_TYPE, "text/parameters");
--- a/crates/director/src/rtsp_connection.rs
+++ b/crates/director/src/rtsp_connection.rs
@@ -69,7 +69,7 @@
 
 /// Serves a viewer's connection until it ends.
 pub async fn run(context: Arc<DirectorContext>, stream: TcpStream) {
-    let front = &context.settings.front;
+    let front = &context.settings.rtsp;
     let mut server = Server::new(front.session_timeout.as_secs() as u32, &front.clock_rates);
     if let Some(users) = &context.users {
         let nonce = format!("{:016x}{:016x}", context.random(), context.random());
@@ -178,7 +178,7 @@
 
     /// Writes everything queued. A viewer that doesn't take it within the write timeout is disconnected.
     async fn flush(&mut self) -> Result<(), Disconnected> {
-        let timeout = self.context.settings.front.write_timeout;
+        let timeout = self.context.settings.rtsp.write_timeout;
         let sent = async {
             self.connection.flush().await?;
             if !self.pending_frames.is_empty() {
@@ -193,7 +193,7 @@
 
     /// Queues a packet for the next flush.
     async fn feed(&mut self, packet: Packet) -> Result<(), Disconnected> {
-        let timeout = self.context.settings.front.write_timeout;
+        let timeout = self.context.settings.rtsp.write_timeout;
         let fed = tokio::time::timeout(timeout, self.connection.feed(packet)).await;
         matches!(fed, Ok(Ok(()))).then_some(()).ok_or(Disconnected)
     }
@@ -238,7 +238,7 @@
         let context = self.context.clone();
         let settings = &context.settings;
         let title = settings.titles.get(&requested.title);
-        let resolved = title.and_then(|t| Some((t, settings.group_of(requested.group.as_deref(), t)?)));
+        let resolved = title.and_then(|t| Some((t, settings.resolve_group(requested.group.as_deref(), t)?)));
         let Some((title, group)) = resolved else {
             let response = self.server.turned_away(StatusCode::NotFound, None);
             return self.send_response(response).await;
@@ -347,7 +347,7 @@
     /// Redirects the viewer to the director named in the settings (RFC 2326, 10.10), if any.
     async fn redirect(&mut self) -> Result<(), Disconnected> {
         let Some(session) = &self.session else { return Ok(()) };
-        let Some(to) = &self.context.settings.front.redirect else { return Ok(()) };
+        let Some(to) = &self.context.settings.rtsp.redirect_url else { return Ok(()) };
         let Ok(url) = Url::parse(&format!("{to}/{}", session.requested.title)) else { return Ok(()) };
         self.cseq += 1;
         let mut request = messages::request(Method::Redirect, &url, self.cseq);
@@ -502,7 +502,7 @@
             let reply = self.server.failed(StatusCode::BadGateway);
             self.send_response(reply).await?;
         } else {
-            for track in 0..self.context.settings.front.clock_rates.len() as u8 {
+            for track in 0..self.context.settings.rtsp.clock_rates.len() as u8 {
                 if let Some(channels) = self.server.channels(track) {
                     let payload = rtcp::bye(session.ssrc(track));
                     self.feed(Packet::Frame { channel: channels.rtcp, payload }).await?;
@@ -523,7 +523,7 @@
     /// Checks the idle timeout and overdue responses, reports delivery and sends keep-alives.
     async fn handle_tick(&mut self) -> Result<(), Disconnected> {
         let context = self.context.clone();
-        let front = &context.settings.front;
+        let front = &context.settings.rtsp;
         if self.last_received.elapsed() > front.session_timeout && !self.server.waits() {
             return Err(Disconnected);
         }
@@ -539,7 +539,7 @@
             context.engine.submit(Input::SessionDelivery { session: session.id, share }).await;
         }
         let Some(node) = &mut session.node else { return Ok(()) };
-        if session.last_keep_alive.elapsed() >= front.keep_alive {
+        if session.last_keep_alive.elapsed() >= front.keep_alive_interval {
             session.last_keep_alive = Instant::now();
             if node.keep_alive(&context).await.is_err() {
                 return self.node_lost(AttemptOutcome::Lost).await;
--- a/crates/director/src/rtsp_session.rs
+++ b/crates/director/src/rtsp_session.rs
@@ -79,7 +79,7 @@
             rung: 0,
             node_rung: 0,
             last_keep_alive: Instant::now(),
-            tracks: context.settings.front.clock_rates.iter().map(track).collect(),
+            tracks: context.settings.rtsp.clock_rates.iter().map(track).collect(),
         }
     }
 
--- a/crates/director/src/serve.rs
+++ b/crates/director/src/serve.rs
@@ -44,7 +44,7 @@
 /// Reads and checks the settings and the node lists. Returns the settings, the node list that a director
 /// would start with, and the files it would follow.
 pub fn load(path: &Path) -> Result<(Settings, NodeList, NodeListFiles), StartupError> {
-    let settings = ashglade_settings::settings(&path.display().to_string(), &read_file(path)?)?;
+    let settings = ashglade_settings::parse_settings(&path.display().to_string(), &read_file(path)?)?;
     let files = NodeListFiles::new(&settings, path);
     let (_, list) = node_lists::load(&settings, &files, ashglade::time::Instant::default())?;
     Ok((settings, list, files))
@@ -52,27 +52,32 @@
 
 /// Returns the file to which a director with these settings writes the status of its admission queue.
 pub fn admission_status_path(settings: &Settings, path: &Path) -> Option<PathBuf> {
-    let view = settings.door.as_ref()?.view.as_ref()?;
+    let view = settings.admission.as_ref()?.status_path.as_ref()?;
     Some(resolve_path(path, view))
 }
 
 /// Returns the file to which a director with these settings writes its view of other directors and of nodes.
 pub fn peer_status_path(settings: &Settings, path: &Path) -> Option<PathBuf> {
-    let view = settings.talk.as_ref()?.share.as_ref()?.view.as_ref()?;
+    let view = settings.peering.as_ref()?.sharing.as_ref()?.status_path.as_ref()?;
     Some(resolve_path(path, view))
 }
 
 /// Returns the engine's configuration from the settings.
 pub fn engine_config(settings: &Settings) -> EngineConfig {
-    let headend = &settings.headend;
+    let headend = &settings.director_config;
     EngineConfig {
         director: headend.clone(),
         answer_margin: settings.answer_margin,
         probe_timeout: settings.probe_timeout,
-        max_sessions: settings.most_sessions,
-        admission: settings.door.as_ref().map(|admission| AdmissionConfig {
+        max_sessions: settings.max_sessions,
+        admission: settings.admission.as_ref().map(|admission| AdmissionConfig {
             seed: headend.seed,
-            groups: admission.shares.iter().copied().zip(headend.groups.iter().map(|g| g.utility)).collect(),
+            groups: admission
+                .group_weights
+                .iter()
+                .copied()
+                .zip(headend.groups.iter().map(|g| g.utility))
+                .collect(),
             tenant_weights: admission.tenants.iter().map(|&(_, share)| share).collect(),
             min_start_target: headend
                 .groups
@@ -81,16 +86,18 @@
                 .min()
                 .unwrap_or(Span::from_secs(1.0)),
             max_retry_after: headend.max_retry_after,
-            max_waiting: admission.most_waiting,
-            concurrency_limits: admission.hands,
+            max_waiting: admission.max_waiting,
+            concurrency_limits: admission.concurrency_limits,
         }),
     }
 }
 
 /// Runs a director until it is stopped: the first SIGTERM or SIGINT drains it, the second ends it at once.
 pub async fn serve(options: Options) -> Result<(), StartupError> {
-    let settings =
-        ashglade_settings::settings(&options.settings.display().to_string(), &read_file(&options.settings)?)?;
+    let settings = ashglade_settings::parse_settings(
+        &options.settings.display().to_string(),
+        &read_file(&options.settings)?,
+    )?;
     let files = NodeListFiles::new(&settings, &options.settings);
     let recording = match &options.record {
         Some(path) => {
@@ -99,7 +106,7 @@
         }
         None => None,
     };
-    let address = settings.front.listen;
+    let address = settings.rtsp.listen;
     let listener =
         TcpListener::bind(address).await.map_err(|source| StartupError::Listen { address, source })?;
     let hls_listener = match &settings.hls {
@@ -110,9 +117,9 @@
         }
         None => None,
     };
-    let peer_socket = match &settings.talk {
+    let peer_socket = match &settings.peering {
         Some(talk) => {
-            let address = talk.peers[settings.headend.director_index];
+            let address = talk.addresses[settings.director_config.director_index];
             let socket = UdpSocket::bind(address).await;
             Some(socket.map_err(|source| StartupError::Listen { address, source })?)
         }
@@ -127,14 +134,14 @@
     let context = Arc::new(DirectorContext {
         engine,
         clock,
-        pool: ConnectionPool::new(settings.front.idle_connections),
+        pool: ConnectionPool::new(settings.rtsp.max_idle_connections),
         http_client: http_client(&settings),
         settings: settings.clone(),
         draining: watch::channel(false).0,
-        users: settings.front.users.clone().map(|(realm, users)| Arc::new(Users { realm, users })),
+        users: settings.rtsp.users.clone().map(|(realm, users)| Arc::new(Users { realm, users })),
         next_session_id: AtomicU64::new(started_ms << 20),
         random: Mutex::new(oorandom::Rand64::new(
-            u128::from(started_ms) << 64 | u128::from(settings.headend.seed),
+            u128::from(started_ms) << 64 | u128::from(settings.director_config.seed),
         )),
     });
     let (drained, mut drained_receiver) = watch::channel(false);
@@ -156,7 +163,8 @@
         })
     });
     // Results of SETUPs go to other directors only where `talk.share` is set.
-    let setup_results = settings.talk.as_ref().and_then(|talk| talk.share.as_ref()).map(|_| setup_results);
+    let setup_results =
+        settings.peering.as_ref().and_then(|talk| talk.sharing.as_ref()).map(|_| setup_results);
     let engine_config = engine_config(&settings);
     let (node_requests, node_request_receiver) = mpsc::channel(ENGINE_QUEUE_CAPACITY);
     let task_config = EngineTaskConfig {
@@ -182,11 +190,11 @@
     if let Some(peer_transport) = peer_transport {
         tokio::spawn(ashglade_peer_transport::run(peer_transport, context.engine.clone()));
     }
-    info!(%address, director = settings.headend.director_index, nodes = list.entries.len(), "serving");
+    info!(%address, director = settings.director_config.director_index, nodes = list.entries.len(), "serving");
 
     // Beyond the connection limit, viewers wait in the kernel's accept queue; nothing has been read from
     // them.
-    let connection_permits = Arc::new(Semaphore::new(settings.front.most_connections));
+    let connection_permits = Arc::new(Semaphore::new(settings.rtsp.max_connections));
     loop {
         let accept = async {
             let permit = connection_permits.clone().acquire_owned().await;
@@ -219,7 +227,7 @@
     let _ = context.draining.send(true);
     tokio::select! {
         _ = drained_receiver.wait_for(|&drained| drained) => {}
-        () = tokio::time::sleep(context.settings.front.drain) => info!("the drain timeout has passed"),
+        () = tokio::time::sleep(context.settings.rtsp.drain_timeout) => info!("the drain timeout has passed"),
         _ = terminate_signals.recv() => info!("second stop signal; stopping at once"),
         _ = interrupt_signals.recv() => info!("second stop signal; stopping at once"),
     }
@@ -233,11 +241,11 @@
 /// Returns the HTTP client for HLS requests to nodes.
 fn http_client(settings: &Settings) -> Client<HttpConnector, Empty<Bytes>> {
     let mut connector = HttpConnector::new();
-    connector.set_connect_timeout(Some(settings.front.connect_timeout));
+    connector.set_connect_timeout(Some(settings.rtsp.connect_timeout));
     connector.set_nodelay(true);
     Client::builder(TokioExecutor::new())
         .pool_timer(TokioTimer::new())
-        .pool_max_idle_per_host(settings.front.idle_connections)
+        .pool_max_idle_per_host(settings.rtsp.max_idle_connections)
         // Shorter than the idle timeout of most servers.
         .pool_idle_timeout(std::time::Duration::from_secs(20))
         .build(connector)
@@ -250,8 +258,8 @@
     path: &Path,
     now: ashglade::time::Instant,
 ) -> Result<LedgerStore, StartupError> {
-    let mut ledger = Ledger::new(TeardownPolicy::default(), settings.headend.seed);
-    let Some(name) = &settings.front.ledger else { return Ok(LedgerStore { ledger, file: None }) };
+    let mut ledger = Ledger::new(TeardownPolicy::default(), settings.director_config.seed);
+    let Some(name) = &settings.rtsp.ledger_path else { return Ok(LedgerStore { ledger, file: None }) };
     let path = resolve_path(path, name);
     let read_error = |source| StartupError::Read { path: path.clone(), source };
     let open_sessions = match std::fs::read_to_string(&path) {
--- a/crates/director/src/teardown.rs
+++ b/crates/director/src/teardown.rs
@@ -12,7 +12,7 @@
 
 /// Attempts a pending tear-down and reports its outcome to the ledger.
 pub async fn run(context: Arc<DirectorContext>, teardown: Teardown) {
-    let timeout = context.settings.front.answer_timeout;
+    let timeout = context.settings.rtsp.answer_timeout;
     let confirmed =
         tokio::time::timeout(timeout, send_teardown(&context, &teardown)).await.ok().flatten().is_some();
     let outcome = if confirmed { TeardownOutcome::Confirmed } else { TeardownOutcome::Failed };
@@ -25,7 +25,7 @@
 /// Sends TEARDOWN. Returns `Some` if the response is that the session is ended or unknown.
 async fn send_teardown(context: &DirectorContext, teardown: &Teardown) -> Option<()> {
     let address = teardown.held.address;
-    let mut connection = context.pool.connect(address, context.settings.front.connect_timeout).await.ok()?;
+    let mut connection = context.pool.connect(address, context.settings.rtsp.connect_timeout).await.ok()?;
     let url = Url::parse(&teardown.held.url).ok()?;
     let mut request = messages::request(Method::Teardown, &url, 1);
     request.insert_header(headers::SESSION, teardown.held.session.as_str());
--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use ashglade_settings::text::{self, Source, Trouble};
+use ashglade_settings::text_format::{self, ParsedFile, SettingsError};
 
 /// Types generated from `day.proto`.
 pub mod schema {
@@ -28,37 +28,37 @@
 }
 
 /// Parses a day from text; `file` names it in errors.
-pub fn parse(file: &str, text: &str) -> Result<Day, Trouble> {
-    let (mut day, source) = text::read::<Day>(SCHEMA, "ashglade.day.Day", file, text)?;
-    source.need("seed", day.seed)?;
-    source.within("seconds", day.seconds, 1.0, 3600.0)?;
-    let directors = source.within("directors", day.directors.map(f64::from), 1.0, MAX_COUNT)?;
-    day.network_ms = Some(source.within("network_ms", Some(day.network_ms.unwrap_or(0.3)), 0.0, 1000.0)?);
-    source.within("drain_grace_ms", day.drain_grace_ms, 0.0, 60_000.0)?;
-    day.slack_ms = Some(source.within("slack_ms", Some(day.slack_ms.unwrap_or(60.0)), 0.0, 10_000.0)?);
-    let headend = source.need("headend", day.headend.as_ref())?;
+pub fn parse(file: &str, text: &str) -> Result<Day, SettingsError> {
+    let (mut day, source) = text_format::parse::<Day>(SCHEMA, "ashglade.day.Day", file, text)?;
+    source.required("seed", day.seed)?;
+    source.in_range("seconds", day.seconds, 1.0, 3600.0)?;
+    let directors = source.in_range("directors", day.directors.map(f64::from), 1.0, MAX_COUNT)?;
+    day.network_ms = Some(source.in_range("network_ms", Some(day.network_ms.unwrap_or(0.3)), 0.0, 1000.0)?);
+    source.in_range("drain_grace_ms", day.drain_grace_ms, 0.0, 60_000.0)?;
+    day.slack_ms = Some(source.in_range("slack_ms", Some(day.slack_ms.unwrap_or(60.0)), 0.0, 10_000.0)?);
+    let headend = source.required("headend", day.headend.as_ref())?;
     if day.nodes.is_empty() {
-        return Err(source.trouble("nodes", "is missing; at least one kind of nodes is required"));
+        return Err(source.error("nodes", "is missing; at least one kind of nodes is required"));
     }
     let models: Vec<String> = headend.model.iter().filter_map(|m| m.name.clone()).collect();
     for (i, nodes) in day.nodes.iter().enumerate() {
         let field = |name: &str| format!("nodes[{i}].{name}");
-        source.within(&field("count"), nodes.count.map(f64::from), 1.0, MAX_COUNT)?;
-        source.within(&field("weight"), nodes.weight, 1e-3, 1e6)?;
-        source.one_of(&field("model"), nodes.model.as_deref().unwrap_or_default(), &models)?;
+        source.in_range(&field("count"), nodes.count.map(f64::from), 1.0, MAX_COUNT)?;
+        source.in_range(&field("weight"), nodes.weight, 1e-3, 1e6)?;
+        source.index_of(&field("model"), nodes.model.as_deref().unwrap_or_default(), &models)?;
     }
     if day.viewers.is_empty() {
-        return Err(source.trouble("viewers", "is missing; at least one group of viewers is required"));
+        return Err(source.error("viewers", "is missing; at least one group of viewers is required"));
     }
     for (i, viewers) in day.viewers.iter().enumerate() {
         if viewers.hls_share.is_some_and(|part| part > 0.0) && headend.hls.is_none() {
-            return Err(source.trouble(&format!("viewers[{i}].hls_share"), "requires `hls` in the headend"));
+            return Err(source.error(&format!("viewers[{i}].hls_share"), "requires `hls` in the headend"));
         }
         check_viewers(&source, &format!("viewers[{i}]"), viewers, (headend.group.len(), directors))?;
     }
-    let lists = source.need("lists", day.lists.as_ref())?;
-    source.within("lists.notice_ms", lists.notice_ms, 0.0, 60_000.0)?;
-    source.within("lists.silent_notice_ms", lists.silent_notice_ms, 0.0, 60_000.0)?;
+    let lists = source.required("lists", day.lists.as_ref())?;
+    source.in_range("lists.notice_ms", lists.notice_ms, 0.0, 60_000.0)?;
+    source.in_range("lists.silent_notice_ms", lists.silent_notice_ms, 0.0, 60_000.0)?;
     let nodes: f64 = day.nodes.iter().filter_map(|n| n.count).map(f64::from).sum();
     let racks = headend.links.as_ref().and_then(|l| l.racks).map_or(1.0, f64::from);
     for (i, trouble) in day.trouble.iter().enumerate() {
@@ -73,25 +73,25 @@
 
 /// Validates a group of viewers against the number of service groups and of directors.
 fn check_viewers(
-    source: &Source,
+    source: &ParsedFile,
     field: &str,
     viewers: &schema::Viewers,
     (groups, directors): (usize, f64),
-) -> Result<(), Trouble> {
+) -> Result<(), SettingsError> {
     let field = |name: &str| format!("{field}.{name}");
-    source.within(&field("rate"), viewers.rate, 0.01, 1e5)?;
-    let from = source.within(&field("watch_from_s"), viewers.watch_from_s, 0.1, 3600.0)?;
-    source.within(&field("watch_to_s"), viewers.watch_to_s, from, 3600.0)?;
+    source.in_range(&field("rate"), viewers.rate, 0.01, 1e5)?;
+    let from = source.in_range(&field("watch_from_s"), viewers.watch_from_s, 0.1, 3600.0)?;
+    source.in_range(&field("watch_to_s"), viewers.watch_to_s, from, 3600.0)?;
     for (name, part) in [
         ("impatient", viewers.impatient),
         ("small_screens", viewers.small_screens),
         ("hls_share", viewers.hls_share),
     ] {
-        source.within(&field(name), Some(part.unwrap_or(0.0)), 0.0, 1.0)?;
+        source.in_range(&field(name), Some(part.unwrap_or(0.0)), 0.0, 1.0)?;
     }
-    source.within(&field("rejoin_ms"), viewers.rejoin_ms, 1.0, 60_000.0)?;
-    source.within(&field("from_s"), Some(viewers.from_s.unwrap_or(0.0)), 0.0, 3600.0)?;
-    source.within(
+    source.in_range(&field("rejoin_ms"), viewers.rejoin_ms, 1.0, 60_000.0)?;
+    source.in_range(&field("from_s"), Some(viewers.from_s.unwrap_or(0.0)), 0.0, 3600.0)?;
+    source.in_range(
         &field("to_s"),
         Some(viewers.to_s.unwrap_or(3600.0)),
         viewers.from_s.unwrap_or(0.0),
@@ -105,29 +105,32 @@
             continue;
         }
         if shares.len() != of {
-            return Err(
-                source.trouble(&field(name), format!("has {} shares; {of} are required", shares.len()))
-            );
+            return Err(source.error(&field(name), format!("has {} shares; {of} are required", shares.len())));
         }
         for (k, &share) in shares.iter().enumerate() {
-            source.within(&format!("{}[{k}]", field(name)), Some(share), 0.0, 1e6)?;
+            source.in_range(&format!("{}[{k}]", field(name)), Some(share), 0.0, 1e6)?;
         }
         if shares.iter().sum::<f64>() <= 0.0 {
-            return Err(source.trouble(&field(name), "needs at least one positive share"));
+            return Err(source.error(&field(name), "needs at least one positive share"));
         }
     }
     Ok(())
 }
 
 /// Validates a fault and the party names in it.
-fn check_fault(source: &Source, field: &str, fault: &Fault, parties: &Parties) -> Result<(), Trouble> {
+fn check_fault(
+    source: &ParsedFile,
+    field: &str,
+    fault: &Fault,
+    parties: &Parties,
+) -> Result<(), SettingsError> {
     let check_names = |list: &str, names: &[String]| {
         for (k, name) in names.iter().enumerate() {
             if parties.resolve(name).is_none() {
                 let message = format!(
                     "{name:?} names no party; use \"director 3\", \"node 5\", \"zone NAME\" or \"viewers\""
                 );
-                return Err(source.trouble(&format!("{field}.{list}[{k}]"), message));
+                return Err(source.error(&format!("{field}.{list}[{k}]"), message));
             }
         }
         Ok(())
@@ -137,47 +140,46 @@
     let subfield = |name: &str| format!("{field}.{name}");
     match (&fault.when, fault.at_s) {
         (Some(_), Some(_)) | (None, None) => {
-            return Err(source.trouble(field, "needs exactly one of at_s and when"));
+            return Err(source.error(field, "needs exactly one of at_s and when"));
         }
-        (None, time) => drop(source.within(&subfield("at_s"), time, 0.0, 3600.0)?),
+        (None, time) => drop(source.in_range(&subfield("at_s"), time, 0.0, 3600.0)?),
         (Some(when), None) => {
             check_names("when.from", &when.from)?;
             check_names("when.to", &when.to)?;
         }
     }
-    source.within(&subfield("for_s"), Some(fault.for_s.unwrap_or(0.0)), 0.0, 3600.0)?;
+    source.in_range(&subfield("for_s"), Some(fault.for_s.unwrap_or(0.0)), 0.0, 3600.0)?;
     if fault.from.is_empty() {
-        return Err(source.trouble(&subfield("from"), "is missing"));
+        return Err(source.error(&subfield("from"), "is missing"));
     }
     let (from, to) = match fault.deed() {
-        FaultKind::NoDeed => return Err(source.trouble(&subfield("deed"), "is missing")),
+        FaultKind::NoDeed => return Err(source.error(&subfield("deed"), "is missing")),
         FaultKind::Cut => return Ok(()),
         FaultKind::Kill | FaultKind::Stop => {
             let non_director = fault.from.iter().position(|name| !name.starts_with("director"));
             return non_director.map_or(Ok(()), |k| {
-                Err(source
-                    .trouble(&subfield(&format!("from[{k}]")), "only directors can be killed or stopped"))
+                Err(source.error(&subfield(&format!("from[{k}]")), "only directors can be killed or stopped"))
             });
         }
         FaultKind::Delay | FaultKind::Reorder => (0.0, 60_000.0),
         FaultKind::Loss | FaultKind::Double => (0.0, 1.0),
         FaultKind::Trickle => (1.0, 1e9),
     };
-    source.within(&subfield("size"), fault.size, from, to).map(drop)
+    source.in_range(&subfield("size"), fault.size, from, to).map(drop)
 }
 
 /// Validates a trouble. `of` holds the numbers of nodes, racks and directors.
 fn check_trouble(
-    source: &Source,
+    source: &ParsedFile,
     i: usize,
     trouble: &schema::Trouble,
     target_counts: (f64, f64, f64),
-) -> Result<(), Trouble> {
+) -> Result<(), SettingsError> {
     let field = |name: &str| format!("trouble[{i}].{name}");
-    source.within(&field("at_s"), trouble.at_s, 0.0, 3600.0)?;
-    source.within(&field("for_s"), trouble.for_s, 0.0, 3600.0)?;
+    source.in_range(&field("at_s"), trouble.at_s, 0.0, 3600.0)?;
+    source.in_range(&field("for_s"), trouble.for_s, 0.0, 3600.0)?;
     let (from, to) = match trouble.kind() {
-        TroubleKind::Unset => return Err(source.trouble(&field("kind"), "is missing")),
+        TroubleKind::Unset => return Err(source.error(&field("kind"), "is missing")),
         TroubleKind::FastErrors | TroubleKind::Reset => (0.0, 1.0),
         TroubleKind::Slow | TroubleKind::Neighbour | TroubleKind::OriginSlow | TroubleKind::Burst => {
             (1.0, 100.0)
@@ -187,7 +189,7 @@
         _ => (f64::MIN, f64::MAX),
     };
     if from != f64::MIN {
-        source.within(&field("size"), trouble.size, from, to)?;
+        source.in_range(&field("size"), trouble.size, from, to)?;
     }
     let max_targets = match trouble.kind() {
         TroubleKind::OriginSlow => target_counts.1,
@@ -195,7 +197,7 @@
         _ => target_counts.0,
     };
     for (k, &on) in trouble.on.iter().enumerate() {
-        source.within(&format!("trouble[{i}].on[{k}]"), Some(f64::from(on)), 0.0, max_targets - 1.0)?;
+        source.in_range(&format!("trouble[{i}].on[{k}]"), Some(f64::from(on)), 0.0, max_targets - 1.0)?;
     }
     Ok(())
 }
--- a/crates/lab/src/emulator/peers.rs
+++ b/crates/lab/src/emulator/peers.rs
@@ -29,9 +29,9 @@
     pub fn new(settings: &Settings) -> Option<PeerState> {
         Some(PeerState {
             config: ashglade_peer_transport::fleet_config(settings)?,
-            codec: Codec::new(&settings.talk.as_ref()?.secret)?,
+            codec: Codec::new(&settings.peering.as_ref()?.secret)?,
             retry_window: ashglade_peer_transport::retry_window(settings),
-            health_sharing: settings.talk.as_ref()?.share.is_some(),
+            health_sharing: settings.peering.as_ref()?.sharing.is_some(),
             state: None,
         })
     }
--- a/crates/lab/src/emulator/viewers.rs
+++ b/crates/lab/src/emulator/viewers.rs
@@ -113,8 +113,8 @@
             group: ashglade::ids::GroupId(arrival.group),
             title: TitleId(title.id),
             top_rung: Rung(arrival.top_rung),
-            first_cell: title.home,
-            cell_count: title.copies,
+            first_cell: title.first_cell,
+            cell_count: title.cell_count,
             setup_timeout: timeout,
             tenant: 0,
             client: viewer as u64,
@@ -178,7 +178,8 @@
         match response {
             SessionResponse::Plays { .. } => {
                 viewer_state.phase = Phase::Playing { director, process, session_id };
-                let in_time = elapsed_s <= self.settings.headend.groups[group].start_target.as_ms() / 1e3;
+                let in_time =
+                    elapsed_s <= self.settings.director_config.groups[group].start_target.as_ms() / 1e3;
                 group_report.played += 1;
                 if attempt == 0 && in_time {
                     group_report.in_time += 1;
--- a/crates/lab/src/emulator/world.rs
+++ b/crates/lab/src/emulator/world.rs
@@ -159,8 +159,9 @@
             let peers = (0..count).map(|peer| format!("127.0.0.1:{}", 1000 + peer)).collect();
             let text =
                 directors::director_settings(day, director, "127.0.0.1:554", "127.0.0.1:80", Some(peers))?;
-            let mut settings = ashglade_settings::settings("headend", &text).map_err(|e| e.to_string())?;
-            settings.door = settings.door.filter(|_| admission);
+            let mut settings =
+                ashglade_settings::parse_settings("headend", &text).map_err(|e| e.to_string())?;
+            settings.admission = settings.admission.filter(|_| admission);
             director_configs.push((ashglade_director::engine_config(&settings), PeerState::new(&settings)));
             first_settings.get_or_insert(settings);
         }
@@ -430,7 +431,11 @@
 
     /// Whether a SETUP that may have been executed must not be retried for this group.
     pub fn is_fragile(&self, group: usize) -> bool {
-        self.settings.headend.groups.get(group).is_some_and(|g| g.retry_safety == RetrySafety::Fragile)
+        self.settings
+            .director_config
+            .groups
+            .get(group)
+            .is_some_and(|g| g.retry_safety == RetrySafety::Fragile)
     }
 
     /// Applies a scripted change of the environment.
@@ -512,7 +517,7 @@
     /// second.
     fn record_second(&mut self) {
         let second = (self.now_seconds().round() as u64).max(1) - 1;
-        let top_utility = self.settings.headend.ladder.last().map_or(1.0, |&(_, utility)| utility);
+        let top_utility = self.settings.director_config.ladder.last().map_or(1.0, |&(_, utility)| utility);
         let shares: Vec<f64> = (0..self.fleet.nodes.len()).map(|i| self.fleet.delivered_share(i)).collect();
         let mut deliveries = Vec::new();
         for (director, director_state) in self.directors.iter().enumerate() {
@@ -524,7 +529,7 @@
                     director_state.process,
                     Input::SessionDelivery { session: session_id, share },
                 ));
-                let rung = self.settings.headend.ladder.get(usize::from(session.rung));
+                let rung = self.settings.director_config.ladder.get(usize::from(session.rung));
                 let group = &mut self.report.groups[session.group];
                 group.watched_s += 1.0;
                 group.quality_s += rung.map_or(0.0, |&(_, utility)| utility / top_utility) * share;
@@ -578,7 +583,7 @@
         report.peak_retries = retries_in_day.iter().copied().max().unwrap_or(0);
         report.mean_retries = retries_in_day.iter().sum::<u64>() as f64 / retries_in_day.len().max(1) as f64;
         let total_utility = |count: fn(&super::GroupReport) -> u64| -> f64 {
-            let groups = report.groups.iter().zip(&self.settings.headend.groups);
+            let groups = report.groups.iter().zip(&self.settings.director_config.groups);
             groups.map(|(group, settings)| count(group) as f64 * settings.utility).sum()
         };
         let requested_utility = total_utility(|g| g.viewers);
--- a/crates/lab/src/lists.rs
+++ b/crates/lab/src/lists.rs
@@ -6,12 +6,12 @@
 use ashglade::time::Instant;
 use ashglade_discovery::{NodeEntry, NodeList, NodeState};
 use ashglade_judge::What;
-use ashglade_settings::{Names, write_boxes};
+use ashglade_settings::{HeadendNames, format_node_list};
 use ashglade_standin::Log;
 
 /// The node lists of all directors.
 pub struct NodeLists {
-    names: Names,
+    names: HeadendNames,
     log: Log,
     /// By director: its file, and the list as last written.
     files: Mutex<Vec<(PathBuf, NodeList)>>,
@@ -21,7 +21,11 @@
 
 impl NodeLists {
     /// `of` holds, by director, its folder and the nodes with the addresses at which it reaches them.
-    pub fn new(names: Names, log: Log, folders_and_nodes: Vec<(PathBuf, Vec<NodeEntry>)>) -> NodeLists {
+    pub fn new(
+        names: HeadendNames,
+        log: Log,
+        folders_and_nodes: Vec<(PathBuf, Vec<NodeEntry>)>,
+    ) -> NodeLists {
         let list = |entries| NodeList { generation: 1, entries };
         let files = folders_and_nodes
             .into_iter()
@@ -43,7 +47,7 @@
     /// Writes all lists in their current state.
     pub fn write_all(&self) -> std::io::Result<()> {
         let files = self.files.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-        files.iter().try_for_each(|(path, list)| replace_file(path, &write_boxes(list, &self.names)))
+        files.iter().try_for_each(|(path, list)| replace_file(path, &format_node_list(list, &self.names)))
     }
 
     /// Updates the state of a node in all lists, and its start time (milliseconds) if given.
@@ -57,7 +61,7 @@
             }
             let node = entry.name.clone();
             list.generation += 1;
-            replace_file(path, &write_boxes(list, &self.names))?;
+            replace_file(path, &format_node_list(list, &self.names))?;
             let (director, ready) = (director as u16, state == NodeState::Ready);
             self.log.saw(What::Listed { director, node, ready });
         }
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -236,7 +236,7 @@
     /// The nodes.
     pub fleet: Arc<Fleet>,
     /// Folders of the directors, entries of the node list, and the names in the settings.
-    lists: (Vec<std::path::PathBuf>, Vec<ashglade_discovery::NodeEntry>, ashglade_settings::Names),
+    lists: (Vec<std::path::PathBuf>, Vec<ashglade_discovery::NodeEntry>, ashglade_settings::HeadendNames),
     log: ashglade_standin::Log,
 }
 
@@ -260,7 +260,7 @@
     let directors = Directors::prepare(&day, out, log.clone(), |_| None)?;
     let path = directors.settings(0).ok_or("the day has no directors")?;
     let settings = std::fs::read_to_string(&path).map_err(|e| e.to_string())?;
-    let settings = ashglade_settings::settings("settings", &settings).map_err(|e| e.to_string())?;
+    let settings = ashglade_settings::parse_settings("settings", &settings).map_err(|e| e.to_string())?;
     let spec = |i| Spec { name: format!("node-{i}"), rack: 0, places: 100_000, link: 1e9, guard: false };
     let cold_pace = ColdPace { from: 1.0, warm_after: 0.001, multiple: 1e9, span: 1.0 };
     let fleet = Fleet::start(
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -80,7 +80,7 @@
     let path = prepared.settings(0).ok_or("the day has no directors")?;
     let text = std::fs::read_to_string(&path).map_err(|e| e.to_string())?;
     let settings =
-        ashglade_settings::settings(&path.display().to_string(), &text).map_err(|e| e.to_string())?;
+        ashglade_settings::parse_settings(&path.display().to_string(), &text).map_err(|e| e.to_string())?;
     drop(prepared);
     let plan = judge_plan(day, &settings);
     let traffic = out.join("traffic.jsonl");
@@ -100,7 +100,7 @@
 
     let relay_error = |e: std::io::Error| format!("opening a relay: {e}");
     let net = if options.relayed {
-        let secret = settings.talk.as_ref().map(|talk| talk.secret.as_str());
+        let secret = settings.peering.as_ref().map(|talk| talk.secret.as_str());
         let parties = parties(day);
         let net = Network::start(&day.fault, &parties, (seed, secret, record), log.clone());
         Some(net.await.map_err(relay_error)?)
@@ -181,7 +181,7 @@
         result.map_err(|e| e.to_string())??;
     }
     let faults_started = net.as_ref().map_or(Vec::new(), |net| net.finish());
-    let drain_timeout = settings.front.drain + Duration::from_secs(2);
+    let drain_timeout = settings.rtsp.drain_timeout + Duration::from_secs(2);
     let clean_exit = context.directors.stop(drain_timeout).await;
     let orphans = wait_for_sessions_to_end(&context.fleet).await;
     let orphaned_s = context.fleet.nodes.iter().map(|node| node.orphaned().as_secs_f64()).sum();
@@ -317,7 +317,7 @@
 /// Settings that all nodes share: uplink capacity of each rack and rate of each rung in kB/s, and the cold
 /// start.
 pub fn shared_node_settings(settings: &Settings) -> (Vec<f64>, Vec<f64>, ColdPace) {
-    let config = &settings.headend;
+    let config = &settings.director_config;
     let uplink = if config.uplink_kb_per_s > 0.0 { config.uplink_kb_per_s } else { f64::INFINITY };
     let cold_pace = ColdPace {
         from: config.slow_start_initial_fraction,
@@ -330,7 +330,7 @@
 
 /// The nodes of a day, spread round-robin over zones and cells.
 pub fn nodes(day: &Day, settings: &Settings) -> (Vec<Spec>, Vec<NodeEntry>) {
-    let config = &settings.headend;
+    let config = &settings.director_config;
     let (mut specs, mut entries) = (Vec::new(), Vec::new());
     for nodes_of_kind in &day.nodes {
         let model =
@@ -367,7 +367,7 @@
 /// The plan from which the judge checks the day's traffic.
 fn judge_plan(day: &Day, settings: &Settings) -> Plan {
     use ashglade::interface::{RetrySafety, RetryScope};
-    let config = &settings.headend;
+    let config = &settings.director_config;
     let groups = config.groups.iter().zip(&settings.group_names).map(|(group, name)| judge::Group {
         name: name.clone(),
         utility: group.utility,
@@ -411,7 +411,7 @@
 fn shared_plan(settings: &Settings) -> Option<judge::Shared> {
     let fleet_config = ashglade_peer_transport::fleet_config(settings)?;
     let voters = |home| fleet_config.voters(home).into_iter().map(|director| director as u16).collect();
-    let repeats = settings.talk.as_ref()?.share.as_ref()?.repeats;
+    let repeats = settings.peering.as_ref()?.sharing.as_ref()?.retry_limit;
     Some(judge::Shared {
         lease: fleet_config.lease.as_ms(),
         drift: fleet_config.max_clock_drift,
@@ -420,9 +420,9 @@
         stalled: 0.0,
         councils: (0..fleet_config.director_count()).map(voters).collect(),
         repeats: repeats.map(|repeats| judge::Repeats {
-            at_node: repeats.at_node,
-            kept: repeats.kept,
-            span: repeats.span.as_ms(),
+            at_node: repeats.max_per_node,
+            kept: repeats.reserved_per_director,
+            span: repeats.window.as_ms(),
             pool: ashglade_peer_transport::RETRY_POOL as u8,
         }),
     })
--- a/crates/peer-transport/src/transport.rs
+++ b/crates/peer-transport/src/transport.rs
@@ -53,16 +53,16 @@
         status_path: Option<PathBuf>,
     ) -> Option<PeerTransport> {
         let config = crate::fleet_config(settings)?;
-        let talk = settings.talk.as_ref()?;
-        let share = talk.share.as_ref();
+        let talk = settings.peering.as_ref()?;
+        let share = talk.sharing.as_ref();
         Some(PeerTransport {
             socket,
             config,
-            peer_addresses: talk.peers.clone(),
+            peer_addresses: talk.addresses.clone(),
             codec: Codec::new(&talk.secret)?,
             clock,
             setup_results,
-            max_bytes_per_second: share.map_or(f64::INFINITY, |share| share.bytes_per_s),
+            max_bytes_per_second: share.map_or(f64::INFINITY, |share| share.max_bytes_per_second),
             retry_window: crate::config::retry_window(settings),
             status_path,
         })
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,13 +1,16 @@
 //! The files that a director reads: headend settings and node lists, in protobuf text format. The schemas are
 //! in `proto/`. Each field is validated; errors name the file, line and field. This crate contains no policy.
 
-mod boxes;
 mod headend;
-pub mod text;
+mod node_list;
+pub mod text_format;
 
-pub use boxes::{Names, boxes, watched_boxes, write_boxes};
-pub use headend::{Door, Front, Hls, Repeats, Settings, Share, Talk, Title, settings};
-pub use text::Trouble;
+pub use headend::{
+    AdmissionSettings, HlsSettings, PeerSettings, RetryLimit, RtspSettings, Settings, SharingSettings, Title,
+    parse_settings,
+};
+pub use node_list::{HeadendNames, format_node_list, parse_node_list, parse_node_list_with_omissions};
+pub use text_format::SettingsError;
 
 /// Types generated from the schemas in `proto/`.
 pub mod schema {
--- a/crates/settings/src/boxes.rs
+++ b/crates/settings/src/node_list.rs
@@ -9,19 +9,19 @@
 
 use crate::headend::required_text;
 use crate::schema::boxes as schema;
-use crate::text::{self, Trouble};
+use crate::text_format::{self, SettingsError};
 
 /// The names of the headend settings that a node list may refer to. A name's index is its id.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct HeadendNames {
     /// Zone names, indexed by `ZoneId`.
     pub zones: Vec<String>,
     /// Model names, indexed by `ModelId`.
     pub models: Vec<String>,
     /// Number of cells.
-    pub cells: u16,
+    pub cell_count: u16,
     /// Whether each node must have an HLS address (`http`).
-    pub http: bool,
+    pub requires_http: bool,
 }
 
 /// Parses and validates a node list. `file` is the name that errors give.
@@ -29,23 +29,28 @@
 /// # Errors
 ///
 /// Returns the first error in the text, with its line and field.
-pub fn boxes(file: &str, text: &str, names: &Names) -> Result<NodeList, Trouble> {
-    Ok(watched_boxes(file, text, names)?.0)
+pub fn parse_node_list(file: &str, text: &str, names: &HeadendNames) -> Result<NodeList, SettingsError> {
+    Ok(parse_node_list_with_omissions(file, text, names)?.0)
 }
 
-/// Like [`boxes`], but also returns the number of ready nodes that the list leaves out intentionally, if it
-/// has one.
+/// Like [`parse_node_list`], but also returns the number of ready nodes that the list leaves out
+/// intentionally, if it has one.
 ///
 /// # Errors
 ///
 /// Returns the first error in the text, with its line and field.
-pub fn watched_boxes(file: &str, text: &str, names: &Names) -> Result<(NodeList, Option<usize>), Trouble> {
-    let (message, source) = text::read::<schema::Boxes>(crate::SCHEMA, "ashglade.boxes.Boxes", file, text)?;
-    let generation = source.need("generation", message.generation)?;
+pub fn parse_node_list_with_omissions(
+    file: &str,
+    text: &str,
+    names: &HeadendNames,
+) -> Result<(NodeList, Option<usize>), SettingsError> {
+    let (message, source) =
+        text_format::parse::<schema::Boxes>(crate::SCHEMA, "ashglade.boxes.Boxes", file, text)?;
+    let generation = source.required("generation", message.generation)?;
     if let Some(expected) = &message.checksum {
         let actual = checksum(text);
         if !expected.eq_ignore_ascii_case(&actual) {
-            return Err(source.trouble(
+            return Err(source.error(
                 "checksum",
                 format!("is {expected}, but the checksum of the file is {actual}: the file is truncated or was changed"),
             ));
@@ -56,7 +61,7 @@
         let field = |name: &str| format!("box[{i}].{name}");
         let address = required_text(&source, &field("address"), &node.address)?;
         let address = address.parse().map_err(|_| {
-            source.trouble(
+            source.error(
                 &field("address"),
                 format!("{address:?} is not an address and port such as 127.0.0.1:8554"),
             )
@@ -65,10 +70,12 @@
         let model = required_text(&source, &field("model"), &node.model)?;
         let cell = node.cell.map(f64::from);
         let info = NodeInfo {
-            zone: ZoneId(source.one_of(&field("zone"), &zone, &names.zones)? as u8),
-            model: ModelId(source.one_of(&field("model"), &model, &names.models)? as u8),
-            cell: CellId(source.within(&field("cell"), cell, 0.0, f64::from(names.cells) - 1.0)? as u16),
-            weight: source.within(&field("weight"), node.weight, 1e-6, 1e9)?,
+            zone: ZoneId(source.index_of(&field("zone"), &zone, &names.zones)? as u8),
+            model: ModelId(source.index_of(&field("model"), &model, &names.models)? as u8),
+            cell: CellId(
+                source.in_range(&field("cell"), cell, 0.0, f64::from(names.cell_count) - 1.0)? as u16
+            ),
+            weight: source.in_range(&field("weight"), node.weight, 1e-6, 1e9)?,
             started: node.started_ms.filter(|&ms| ms > 0).map(|ms| Instant::from_ms(ms as f64)),
         };
         let state = match node.standing() {
@@ -78,14 +85,15 @@
         };
         let http_address = match &node.http {
             Some(http) => Some(http.parse().map_err(|_| {
-                source.trouble(
+                source.error(
                     &field("http"),
                     format!("{http:?} is not an address and port such as 127.0.0.1:8080"),
                 )
             })?),
-            None if names.http => {
-                return Err(source
-                    .trouble(&field("http"), "is missing; the settings contain `hls`, which requires it"));
+            None if names.requires_http => {
+                return Err(
+                    source.error(&field("http"), "is missing; the settings contain `hls`, which requires it")
+                );
             }
             None => None,
         };
@@ -95,8 +103,8 @@
     Ok((NodeList { generation, entries }, message.leaves_out.map(|count| count as usize)))
 }
 
-/// Formats a node list, with its checksum, as text that [`boxes`] parses.
-pub fn write_boxes(list: &NodeList, names: &Names) -> String {
+/// Formats a node list, with its checksum, as text that [`parse_node_list`] parses.
+pub fn format_node_list(list: &NodeList, names: &HeadendNames) -> String {
     let mut text = format!("generation: {}\n", list.generation);
     let name_of = |names: &[String], index: u8| names.get(usize::from(index)).cloned().unwrap_or_default();
     for entry in &list.entries {
--- a/crates/settings/src/tests.rs
+++ b/crates/settings/src/tests.rs
@@ -27,8 +27,8 @@
 
 #[test]
 fn settings_are_converted_to_the_policy_configuration() {
-    let parsed = settings("h.txtpb", VALID_SETTINGS).unwrap();
-    let config = &parsed.headend;
+    let parsed = parse_settings("h.txtpb", VALID_SETTINGS).unwrap();
+    let config = &parsed.director_config;
     let text = format!(
         "director {} of {} in zone {}; {:?}; {} holds cells {}+{}; margin {} ms",
         config.director_index,
@@ -36,8 +36,8 @@
         config.zone.0,
         config.ladder,
         parsed.titles.keys().next().unwrap(),
-        parsed.titles["renewal"].home.0,
-        parsed.titles["renewal"].copies,
+        parsed.titles["renewal"].first_cell.0,
+        parsed.titles["renewal"].cell_count,
         parsed.answer_margin.as_ms()
     );
     expect![
@@ -72,7 +72,7 @@
     for (from, to) in cases {
         let text = VALID_SETTINGS.replacen(from, to, 1);
         assert_ne!(text, VALID_SETTINGS, "the settings contain no {from}");
-        messages += &match settings("h.txtpb", &text) {
+        messages += &match parse_settings("h.txtpb", &text) {
             Ok(_) => format!("{to} was accepted\n"),
             Err(error) => format!("{error}\n"),
         };
@@ -103,12 +103,12 @@
 fn admission_shares_and_limits_are_validated() {
     let door = "door { most_waiting: 50 first: 8 least: 2 most: 100 tenant_query: \"t\" tenant { name: \"x\" share: 2 } }\n";
     let valid_settings = VALID_SETTINGS.replace("front {", &format!("{door}front {{"));
-    assert_eq!(settings("h.txtpb", &valid_settings).unwrap().door.unwrap().tenants.len(), 2);
+    assert_eq!(parse_settings("h.txtpb", &valid_settings).unwrap().admission.unwrap().tenants.len(), 2);
     let mut messages = String::new();
     for (from, to) in
         [("utility: 2 ", "utility: 2 share: 0 "), ("share: 2", "share: 0"), ("least: 2", "least: 9")]
     {
-        messages += &settings("h.txtpb", &valid_settings.replacen(from, to, 1))
+        messages += &parse_settings("h.txtpb", &valid_settings.replacen(from, to, 1))
             .map_or_else(|e| format!("{e}\n"), |_| "accepted\n".into());
     }
     expect![[r#"
@@ -123,7 +123,7 @@
 fn hls_settings_are_validated_and_require_http_addresses_of_nodes() {
     let hls = "hls { listen: \"127.0.0.1:8080\" most_connections: 9 token_life_s: 60 key { id: 1 secret: \"0123456789abcdef\" } }\n";
     let valid_settings = VALID_SETTINGS.replace("front {", &format!("{hls}front {{"));
-    let parsed = settings("h.txtpb", &valid_settings).unwrap();
+    let parsed = parse_settings("h.txtpb", &valid_settings).unwrap();
     assert_eq!(format!("{:?}", parsed.hls.unwrap()), "Hls(127.0.0.1:8080, 1 keys)");
     let mut messages = String::new();
     for (from, to) in [
@@ -135,18 +135,24 @@
     ] {
         let text = valid_settings.replacen(from, to, 1);
         assert_ne!(text, valid_settings, "{from}");
-        messages += &settings("h.txtpb", &text).map_or_else(|e| format!("{e}\n"), |_| "accepted\n".into());
+        messages +=
+            &parse_settings("h.txtpb", &text).map_or_else(|e| format!("{e}\n"), |_| "accepted\n".into());
     }
     let node_list_with = |extra_fields: &str| {
         format!(
             "generation: 1\nbox {{ name: \"n\" address: \"127.0.0.1:1\" zone: \"a\" model: \"small\" cell: 1 weight: 1 {extra_fields}}}"
         )
     };
-    messages += &format!("{}\n", boxes("b.txtpb", &node_list_with(""), &parsed.names).unwrap_err());
-    messages +=
-        &format!("{}\n", boxes("b.txtpb", &node_list_with("http: \"x\""), &parsed.names).unwrap_err());
-    let list = boxes("b.txtpb", &node_list_with("http: \"127.0.0.1:2\" "), &parsed.names).unwrap();
-    assert_eq!(boxes("b.txtpb", &write_boxes(&list, &parsed.names), &parsed.names).unwrap(), list);
+    messages += &format!("{}\n", parse_node_list("b.txtpb", &node_list_with(""), &parsed.names).unwrap_err());
+    messages += &format!(
+        "{}\n",
+        parse_node_list("b.txtpb", &node_list_with("http: \"x\""), &parsed.names).unwrap_err()
+    );
+    let list = parse_node_list("b.txtpb", &node_list_with("http: \"127.0.0.1:2\" "), &parsed.names).unwrap();
+    assert_eq!(
+        parse_node_list("b.txtpb", &format_node_list(&list, &parsed.names), &parsed.names).unwrap(),
+        list
+    );
     expect![[r#"
         h.txtpb:16: hls.listen: "8080" is not an address and port such as 127.0.0.1:8080
         h.txtpb:16: hls.key[0].id: is 300; expected 0 to 255
@@ -165,7 +171,7 @@
         "talk { peer: \"127.0.0.1:1\" peer: \"127.0.0.1:2\" secret: \"0123456789abcdef\" lease_ms: 3000 }\n";
     let valid_settings = VALID_SETTINGS.replace("front {", &format!("{talk}front {{"));
     assert_eq!(
-        format!("{:?}", settings("h.txtpb", &valid_settings).unwrap().talk.unwrap()),
+        format!("{:?}", parse_settings("h.txtpb", &valid_settings).unwrap().peering.unwrap()),
         "Talk([127.0.0.1:1, 127.0.0.1:2])"
     );
     let mut messages = String::new();
@@ -177,7 +183,7 @@
         ("lease_ms: 3000", "lease_ms: 10"),
         ("lease_ms: 3000", "lease_ms: 3000 drift: 0.9"),
     ] {
-        messages += &settings("h.txtpb", &valid_settings.replacen(from, to, 1))
+        messages += &parse_settings("h.txtpb", &valid_settings.replacen(from, to, 1))
             .map_or_else(|e| format!("{e}\n"), |_| "accepted\n".into());
     }
     expect![[r#"
@@ -197,8 +203,9 @@
                 peer_zone: \"a\" peer_zone: \"b\"\n\
                 share { repeats { at_node: 10 span_ms: 2000 kept: 1 } } }\n";
     let valid_settings = VALID_SETTINGS.replace("front {", &format!("{talk}front {{"));
-    let parsed = settings("h.txtpb", &valid_settings)
-        .map(|settings| settings.talk.and_then(|talk| Some((talk.zones, talk.council, talk.share?))));
+    let parsed = parse_settings("h.txtpb", &valid_settings).map(|settings| {
+        settings.peering.and_then(|peering| Some((peering.zones, peering.max_voters, peering.sharing?)))
+    });
     let mut messages = format!("{parsed:?}\n");
     for (from, to) in [
         ("peer_zone: \"b\"", ""),
@@ -212,11 +219,11 @@
         ("kept: 1", "kept: 6"),
         ("kept: 1", "kept: one"),
     ] {
-        messages += &settings("h.txtpb", &valid_settings.replacen(from, to, 1))
+        messages += &parse_settings("h.txtpb", &valid_settings.replacen(from, to, 1))
             .map_or_else(|e| format!("{e}\n"), |_| "accepted\n".into());
     }
     expect![[r#"
-        Ok(Some(([0, 1], 9, Share { fade: 10s, gossip: 200ms, bytes_per_s: 65536.0, repeats: Some(Repeats { at_node: 10, kept: 1, span: Span(2000000) }), view: None })))
+        Ok(Some(([0, 1], 9, SharingSettings { report_ttl: 10s, gossip_interval: 200ms, max_bytes_per_second: 65536.0, retry_limit: Some(RetryLimit { max_per_node: 10, reserved_per_director: 1, window: Span(2000000) }), status_path: None })))
         h.txtpb:17: talk.peer_zone: has 1 entries for 2 directors
         h.txtpb:17: talk.peer_zone[1]: is "x"; expected one of: a, b
         h.txtpb:16: talk.council: is 0; expected 1 to 99
@@ -232,13 +239,13 @@
 
 #[test]
 fn node_lists_round_trip_and_errors_name_the_field() {
-    let names = settings("h.txtpb", VALID_SETTINGS).unwrap().names;
+    let names = parse_settings("h.txtpb", VALID_SETTINGS).unwrap().names;
     let text = r#"generation: 4
 box { name: "n1" address: "127.0.0.1:9001" zone: "a" model: "small" cell: 1 weight: 2.5 started_ms: 77 }
 box { name: "n2" address: "[::1]:9002" zone: "b" model: "small" cell: 2 weight: 1 standing: DRAINING }
 "#;
-    let list = boxes("b.txtpb", text, &names).unwrap();
-    assert_eq!(boxes("b.txtpb", &write_boxes(&list, &names), &names).unwrap(), list);
+    let list = parse_node_list("b.txtpb", text, &names).unwrap();
+    assert_eq!(parse_node_list("b.txtpb", &format_node_list(&list, &names), &names).unwrap(), list);
     let mut messages = String::new();
     for (from, to) in [
         ("generation: 4", ""),
@@ -249,7 +256,8 @@
         ("standing: DRAINING", "standing: AWAY"),
         ("standing: DRAINING }", ""),
     ] {
-        messages += &format!("{}\n", boxes("b.txtpb", &text.replacen(from, to, 1), &names).unwrap_err());
+        messages +=
+            &format!("{}\n", parse_node_list("b.txtpb", &text.replacen(from, to, 1), &names).unwrap_err());
     }
     expect![[r#"
         b.txtpb:1: generation: is missing
--- a/crates/settings/src/text.rs
+++ b/crates/settings/src/text_format.rs
@@ -8,8 +8,8 @@
 
 /// A parse or validation error, with its position.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{file}:{line}: {field}{}{what}", if field.is_empty() { "" } else { ": " })]
-pub struct Trouble {
+#[error("{file}:{line}: {field}{}{reason}", if field.is_empty() { "" } else { ": " })]
+pub struct SettingsError {
     /// Name of the file, as the caller gave it.
     pub file: String,
     /// Line number, starting at 1.
@@ -17,19 +17,19 @@
     /// Path of the field, such as `group[1].utility`. Empty for syntax errors.
     pub field: String,
     /// Description of the error.
-    pub what: String,
+    pub reason: String,
 }
 
 /// The name of a parsed file and the line of each of its fields. Builds the errors about these fields.
-pub struct Source {
+pub struct ParsedFile {
     file: String,
     lines: BTreeMap<String, usize>,
 }
 
-impl Source {
+impl ParsedFile {
     /// Returns an error about a field. The line of a missing field is that of the closest enclosing message
     /// in the text, or 1.
-    pub fn trouble(&self, field: &str, what: impl Into<String>) -> Trouble {
+    pub fn error(&self, field: &str, reason: impl Into<String>) -> SettingsError {
         let mut path = field;
         let line = loop {
             if let Some(&line) = self.lines.get(path) {
@@ -40,7 +40,7 @@
                 None => break 1,
             }
         };
-        Trouble { file: self.file.clone(), line, field: field.to_string(), what: what.into() }
+        SettingsError { file: self.file.clone(), line, field: field.to_string(), reason: reason.into() }
     }
 
     /// Returns the value of a required field.
@@ -48,8 +48,8 @@
     /// # Errors
     ///
     /// Fails if the field is missing.
-    pub fn need<T>(&self, field: &str, value: Option<T>) -> Result<T, Trouble> {
-        value.ok_or_else(|| self.trouble(field, "is missing"))
+    pub fn required<T>(&self, field: &str, value: Option<T>) -> Result<T, SettingsError> {
+        value.ok_or_else(|| self.error(field, "is missing"))
     }
 
     /// Returns the value of a required field whose value must be from `from` to `to`, both inclusive.
@@ -57,12 +57,18 @@
     /// # Errors
     ///
     /// Fails if the field is missing, out of range or not a number.
-    pub fn within(&self, field: &str, value: Option<f64>, from: f64, to: f64) -> Result<f64, Trouble> {
-        let value = self.need(field, value)?;
+    pub fn in_range(
+        &self,
+        field: &str,
+        value: Option<f64>,
+        from: f64,
+        to: f64,
+    ) -> Result<f64, SettingsError> {
+        let value = self.required(field, value)?;
         if value >= from && value <= to {
             return Ok(value);
         }
-        Err(self.trouble(field, format!("is {value}; expected {from} to {to}")))
+        Err(self.error(field, format!("is {value}; expected {from} to {to}")))
     }
 
     /// Returns the index of `name` in `names`.
@@ -70,9 +76,9 @@
     /// # Errors
     ///
     /// Fails if `names` doesn't contain it.
-    pub fn one_of(&self, field: &str, name: &str, names: &[String]) -> Result<usize, Trouble> {
+    pub fn index_of(&self, field: &str, name: &str, names: &[String]) -> Result<usize, SettingsError> {
         names.iter().position(|known| known == name).ok_or_else(|| {
-            self.trouble(field, format!("is {name:?}; expected one of: {}", format_names(names)))
+            self.error(field, format!("is {name:?}; expected one of: {}", format_names(names)))
         })
     }
 }
@@ -86,13 +92,14 @@
 /// # Errors
 ///
 /// Fails if the text has a syntax error or doesn't match the message type.
-pub fn read<T: prost::Message + Default>(
+pub fn parse<T: prost::Message + Default>(
     schema: &[u8],
     name: &str,
     file: &str,
     text: &str,
-) -> Result<(T, Source), Trouble> {
-    let error_at = |line, what: String| Trouble { file: file.to_string(), line, field: String::new(), what };
+) -> Result<(T, ParsedFile), SettingsError> {
+    let error_at =
+        |line, reason: String| SettingsError { file: file.to_string(), line, field: String::new(), reason };
     let pool = DescriptorPool::decode(schema).map_err(|e| error_at(1, format!("invalid schema: {e}")))?;
     let descriptor = pool
         .get_message_by_name(name)
@@ -106,7 +113,7 @@
         error_at(line, format!("{error}{cause}{help}"))
     })?;
     let value = parsed.transcode_to::<T>().map_err(|e| error_at(1, e.to_string()))?;
-    Ok((value, Source { file: file.to_string(), lines: field_lines(text) }))
+    Ok((value, ParsedFile { file: file.to_string(), lines: field_lines(text) }))
 }
 
 /// Returns the line of each field by path. The text has already been parsed successfully, so this scan only
