--- a/crates/director/tests/talk.rs
+++ b/crates/director/tests/talk.rs
@@ -53,6 +53,8 @@
     let peer_settings: String = peers.iter().map(|peer| format!("peer: \"{peer}\" ")).collect();
     let mut directors = Vec::new();
     let mut reserved_sockets = Vec::new();
+    let boxes = "generation: 1\nbox { name: \"n\" address: \"127.0.0.1:9\" zone: \"a\" model: \"m\" cell: 0 weight: 1 }\n";
+    std::fs::write(folder.path().join("boxes.txtpb"), boxes).unwrap();
     for index in 0..3 {
         let [(socket, listen), _] = spare_addresses();
         let text = format!(
@@ -62,8 +64,6 @@
         );
         let path = folder.path().join(format!("d{index}.txtpb"));
         std::fs::write(&path, text).unwrap();
-        let boxes = "generation: 1\nbox { name: \"n\" address: \"127.0.0.1:9\" zone: \"a\" model: \"m\" cell: 0 weight: 1 }\n";
-        std::fs::write(folder.path().join("boxes.txtpb"), boxes).unwrap();
         let mut child = tokio::process::Command::new(std::env::current_exe().unwrap())
             .args(["one_director", "--exact", "--nocapture"])
             .env("ASHGLADE_TEST_SETTINGS", &path)
