--- a/crates/judge/src/lib.rs
+++ b/crates/judge/src/lib.rs
@@ -1,12 +1,13 @@
-//! The six rules, judged from what viewers and media nodes saw on their sockets. Nothing a director says counts,
-//! and no code is shared with it: what is judged here can't be wrong in the same way.
+//! Checks the rules that a director has to keep, from what viewers and media nodes recorded on their sockets.
+//! Nothing that a director reports is used, and no code is shared with it, so that a fault in the director
+//! can't hide here too.
 
+mod fleet_rules;
+mod record;
 mod rules;
-mod shared;
-mod sights;
 
+pub use record::{Care, Group, Node, Plan, Reach, Repeats, Shared, Sight, Traffic, Trouble, What};
 pub use rules::{Broken, Finding, Verdict, judge};
-pub use sights::{Care, Group, Node, Plan, Reach, Repeats, Shared, Sight, Traffic, Trouble, What};
 
 #[cfg(test)]
 mod tests;
--- a/crates/judge/src/rules.rs
+++ b/crates/judge/src/rules.rs
@@ -1,38 +1,42 @@
-//! The rules, each from the sights alone.
+//! Rules 1 to 6, each for one director by itself, and the report on all rules. All times are in milliseconds.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
 
-use crate::sights::{Care, Group, Plan, Reach, Traffic, What};
+use crate::record::{Care, Group, Plan, Reach, Traffic, What};
 
-/// One breach: where and when.
+/// One violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Broken {
+    /// Milliseconds since the Unix epoch.
     pub at: f64,
     pub what: String,
 }
 
-/// What was found on one rule.
+/// The result of the check of one rule.
 #[derive(Clone, Debug)]
 pub struct Finding {
     pub rule: u8,
     pub name: &'static str,
+    /// What was checked, in numbers.
     pub counts: String,
     pub broken: Vec<Broken>,
 }
 
+/// The results of all rules, and the service level.
 #[derive(Clone, Debug)]
 pub struct Verdict {
     pub findings: Vec<Finding>,
-    /// Utility answered within the start target over utility asked for.
+    /// Part of the requested utility that started within the start target, from 0 to 1.
     pub service: f64,
     pub viewers: usize,
-    /// By service group: its name, the part of its viewers answered in time, and how many they were.
+    /// For each service group with viewers: its name, its service level, and the number of its viewers.
     pub groups: Vec<(String, f64, usize)>,
 }
 
 impl Verdict {
-    /// A day without a request proves nothing.
+    /// Returns whether no rule is violated. A record without a viewer's request proves nothing and doesn't
+    /// pass.
     pub fn held(&self) -> bool {
         self.viewers > 0 && self.findings.iter().all(|f| f.broken.is_empty())
     }
@@ -41,8 +45,8 @@
 impl fmt::Display for Verdict {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         for finding in &self.findings {
-            let word = if finding.broken.is_empty() { "held" } else { "BROKEN" };
-            writeln!(f, "rule {} {word:6} {}: {}", finding.rule, finding.name, finding.counts)?;
+            let result = if finding.broken.is_empty() { "held" } else { "BROKEN" };
+            writeln!(f, "rule {} {result:6} {}: {}", finding.rule, finding.name, finding.counts)?;
             for broken in finding.broken.iter().take(5) {
                 writeln!(f, "    {:.0} ms: {}", broken.at, broken.what)?;
             }
@@ -55,296 +59,332 @@
             "service {:.3} (utility answered within the start target) of {} viewers",
             self.service, self.viewers
         )?;
-        let groups = self.groups.iter().map(|(name, part, of)| format!("{name} {part:.3} of {of}"));
+        let groups =
+            self.groups.iter().map(|(name, service, viewers)| format!("{name} {service:.3} of {viewers}"));
         writeln!(f, "groups  {}", groups.collect::<Vec<_>>().join(", "))
     }
 }
 
-/// A request as its viewer saw it.
-struct Request<'a> {
-    at: f64,
+/// A request as its viewer recorded it.
+struct ViewerRequest<'a> {
+    sent_at: f64,
     director: u16,
     group: Option<&'a Group>,
     title: &'a str,
     setup_timeout: f64,
-    answers: Vec<(f64, u16)>,
-    /// When it closed without an answer, and whether its setup timeout had passed.
-    gave_up: Option<(f64, bool)>,
-    cut: Option<f64>,
+    /// Time and status of each response.
+    responses: Vec<(f64, u16)>,
+    /// When the viewer closed its connection without a response, and whether its setup timeout had passed.
+    abandoned: Option<(f64, bool)>,
+    /// When the director closed the connection without a response.
+    closed_by_director: Option<f64>,
+    /// Indices of its SETUPs at nodes, in the order of time.
     setups: Vec<usize>,
 }
 
-/// A SETUP as its node saw it.
-struct Setup<'a> {
-    at: f64,
+/// A SETUP as its node recorded it.
+struct NodeSetup<'a> {
+    received_at: f64,
     node: &'a str,
-    viewer: (u64, u32),
-    lowest: u8,
-    answered: Option<(f64, u16)>,
-    closed: Option<f64>,
+    /// Viewer and attempt.
+    request: (u64, u32),
+    /// Lowest rung that its session had.
+    lowest_rung: u8,
+    /// Time and status of the response.
+    response: Option<(f64, u16)>,
+    closed_at: Option<f64>,
 }
 
-impl Setup<'_> {
-    /// Until when it was out: its answer, or the end of its connection.
-    fn out_until(&self) -> f64 {
-        let answered = self.answered.map_or(f64::INFINITY, |(at, _)| at);
-        answered.min(self.closed.unwrap_or(f64::INFINITY))
+impl NodeSetup<'_> {
+    /// Returns the time until which it was outstanding: that of its response, or of the end of its
+    /// connection.
+    fn outstanding_until(&self) -> f64 {
+        let responded_at = self.response.map_or(f64::INFINITY, |(at, _)| at);
+        responded_at.min(self.closed_at.unwrap_or(f64::INFINITY))
     }
 
-    /// Turned away unseen, it never ran.
+    /// Returns whether the node certainly didn't run it: these statuses reject a SETUP before it runs.
     fn never_ran(&self) -> bool {
-        matches!(self.answered, Some((_, 404 | 453 | 503)))
+        matches!(self.response, Some((_, 404 | 453 | 503)))
     }
 }
 
-type Requests<'a> = BTreeMap<(u64, u32), Request<'a>>;
+/// Requests by viewer and attempt.
+type Requests<'a> = BTreeMap<(u64, u32), ViewerRequest<'a>>;
 
-/// Judges a day.
+/// Checks all rules against a recorded run.
 pub fn judge(traffic: &Traffic) -> Verdict {
     let plan = &traffic.plan;
     let mut requests: Requests = BTreeMap::new();
-    let mut setups: Vec<Setup> = Vec::new();
-    let mut on: BTreeMap<(&str, u64), usize> = BTreeMap::new();
+    let mut setups: Vec<NodeSetup> = Vec::new();
+    // Index of the open SETUP by node and connection.
+    let mut open_setups: BTreeMap<(&str, u64), usize> = BTreeMap::new();
     for sight in &traffic.sights {
         let at = sight.at;
         match &sight.what {
             What::Asked { viewer, again, director, group, title, setup_timeout } => {
                 let group = plan.groups.iter().find(|g| g.name == *group);
-                let request = Request {
-                    at,
+                let request = ViewerRequest {
+                    sent_at: at,
                     director: *director,
                     group,
                     title,
                     setup_timeout: *setup_timeout,
-                    answers: Vec::new(),
-                    gave_up: None,
-                    cut: None,
+                    responses: Vec::new(),
+                    abandoned: None,
+                    closed_by_director: None,
                     setups: Vec::new(),
                 };
                 requests.insert((*viewer, *again), request);
             }
             What::Answered { viewer, again, status } => {
                 if let Some(request) = requests.get_mut(&(*viewer, *again)) {
-                    request.answers.push((at, *status));
+                    request.responses.push((at, *status));
                 }
             }
             What::GaveUp { viewer, again, patient } => {
                 if let Some(request) = requests.get_mut(&(*viewer, *again)) {
-                    request.gave_up = Some((at, *patient));
+                    request.abandoned = Some((at, *patient));
                 }
             }
             What::Cut { viewer, again } => {
                 if let Some(request) = requests.get_mut(&(*viewer, *again)) {
-                    request.cut = Some(at);
+                    request.closed_by_director = Some(at);
                 }
             }
             What::Setup { node, connection, viewer, again, rung, .. } => {
-                on.insert((node, *connection), setups.len());
+                open_setups.insert((node, *connection), setups.len());
                 if let Some(request) = requests.get_mut(&(*viewer, *again)) {
                     request.setups.push(setups.len());
                 }
-                let (viewer, rung) = ((*viewer, *again), *rung);
-                setups.push(Setup { at, node, viewer, lowest: rung, answered: None, closed: None });
+                let (request, rung) = ((*viewer, *again), *rung);
+                setups.push(NodeSetup {
+                    received_at: at,
+                    node,
+                    request,
+                    lowest_rung: rung,
+                    response: None,
+                    closed_at: None,
+                });
             }
             What::SetupAnswered { node, connection, status } => {
-                if let Some(&i) = on.get(&(node.as_str(), *connection)) {
-                    setups[i].answered = Some((at, *status));
+                if let Some(&i) = open_setups.get(&(node.as_str(), *connection)) {
+                    setups[i].response = Some((at, *status));
                 }
             }
             What::Closed { node, connection } => {
-                if let Some(i) = on.remove(&(node.as_str(), *connection)) {
-                    setups[i].closed = setups[i].closed.or(Some(at));
+                if let Some(i) = open_setups.remove(&(node.as_str(), *connection)) {
+                    setups[i].closed_at = setups[i].closed_at.or(Some(at));
                 }
             }
             What::Withdrawn { node, viewer, again } => {
-                // Its node may hear of it only later, or never.
-                let out =
-                    |s: &&mut Setup| s.node == node && s.viewer == (*viewer, *again) && s.closed.is_none();
-                if let Some(setup) = setups.iter_mut().rev().find(out) {
-                    setup.closed = Some(at);
+                // Its node may notice only later, or never.
+                let is_open = |s: &&mut NodeSetup| {
+                    s.node == node && s.request == (*viewer, *again) && s.closed_at.is_none()
+                };
+                if let Some(setup) = setups.iter_mut().rev().find(is_open) {
+                    setup.closed_at = Some(at);
                 }
             }
             What::Switched { node, connection, rung } => {
-                if let Some(&i) = on.get(&(node.as_str(), *connection)) {
-                    setups[i].lowest = setups[i].lowest.min(*rung);
+                if let Some(&i) = open_setups.get(&(node.as_str(), *connection)) {
+                    setups[i].lowest_rung = setups[i].lowest_rung.min(*rung);
                 }
             }
             _ => {}
         }
     }
     let mut findings = vec![
-        lost(traffic, &requests),
-        twice(plan, &requests, &setups),
-        drains(traffic, &requests, &setups),
-        cold(traffic, &setups),
-        terms(plan, &requests, &setups),
-        ration(plan, &requests, &setups),
+        check_responses(traffic, &requests),
+        check_duplicate_setups(plan, &requests, &setups),
+        check_drains(traffic, &requests, &setups),
+        check_slow_start(traffic, &setups),
+        check_floors_and_seats(plan, &requests, &setups),
+        check_retry_budget(plan, &requests, &setups),
     ];
-    if let Some(terms) = &plan.shared {
-        let further = requests.values().flat_map(|request| {
-            let later =
-                request.setups.iter().skip(1).map(|&i| (setups[i].at, setups[i].node, request.director));
+    if let Some(limits) = &plan.shared {
+        let further_setups = requests.values().flat_map(|request| {
+            let later = request
+                .setups
+                .iter()
+                .skip(1)
+                .map(|&i| (setups[i].received_at, setups[i].node, request.director));
             later.collect::<Vec<_>>()
         });
-        findings.extend(crate::shared::judge(terms, plan.slack, further.collect(), &traffic.sights));
+        findings.extend(crate::fleet_rules::check_fleet(
+            limits,
+            plan.slack,
+            further_setups.collect(),
+            &traffic.sights,
+        ));
     }
-    let (service, viewers) = service(&requests, |_| true);
-    let group = |group: &Group| {
-        let (service, viewers) = self::service(&requests, |other| other.name == group.name);
+    let (service, viewers) = service_level(&requests, |_| true);
+    let group_service = |group: &Group| {
+        let (service, viewers) = self::service_level(&requests, |other| other.name == group.name);
         (group.name.clone(), service, viewers)
     };
-    let groups = plan.groups.iter().map(group).filter(|(.., viewers)| *viewers > 0).collect();
+    let groups = plan.groups.iter().map(group_service).filter(|(.., viewers)| *viewers > 0).collect();
     Verdict { findings, service, viewers, groups }
 }
 
-/// Rule 1: each request of a running director has exactly one answer before its setup timeout.
-fn lost(traffic: &Traffic, requests: &Requests) -> Finding {
+/// Rule 1: each request to a running director gets exactly one response, before its setup timeout.
+fn check_responses(traffic: &Traffic, requests: &Requests) -> Finding {
     let mut broken = Vec::new();
-    // A director that was killed, or stood still, was not running.
-    let stops: Vec<(u16, f64, f64)> = traffic
+    // Director, start and end of the times at which it was not running: killed, or stopped.
+    let outages: Vec<(u16, f64, f64)> = traffic
         .sights
         .iter()
         .filter_map(|sight| match sight.what {
             What::DirectorKilled { director } => {
-                let again = |s: &&crate::Sight| {
+                let is_restart = |s: &&crate::Sight| {
                     s.at > sight.at
                         && matches!(s.what, What::DirectorStarted { director: d } if d == director)
                 };
-                let until = traffic.sights.iter().find(again).map_or(sight.at, |s| s.at);
+                let until = traffic.sights.iter().find(is_restart).map_or(sight.at, |s| s.at);
                 Some((director, sight.at, until + traffic.plan.slack))
             }
             What::DirectorStood { director, from } => Some((director, from, sight.at)),
             _ => None,
         })
         .collect();
-    let (mut plays, mut busy, mut failed, mut left, mut excused) = (0, 0, 0, 0, 0);
+    let (mut started, mut busy, mut failed, mut left, mut excused) = (0, 0, 0, 0, 0);
     for (&(viewer, again), request) in requests {
-        let ends = request.at + request.setup_timeout;
-        let stopped = stops
-            .iter()
-            .any(|&(director, from, to)| director == request.director && from <= ends && to >= request.at);
-        let who = format!("viewer {viewer} try {again} at director {}", request.director);
-        match request.answers.as_slice() {
+        let deadline = request.sent_at + request.setup_timeout;
+        let was_down = outages.iter().any(|&(director, from, to)| {
+            director == request.director && from <= deadline && to >= request.sent_at
+        });
+        let label = format!("viewer {viewer} try {again} at director {}", request.director);
+        match request.responses.as_slice() {
             [(at, status)] => {
                 match status {
-                    200 => plays += 1,
+                    200 => started += 1,
                     503 | 453 => busy += 1,
                     _ => failed += 1,
                 }
-                if *at > ends && !stopped {
-                    let late = at - ends;
+                if *at > deadline && !was_down {
+                    let late = at - deadline;
                     broken.push(Broken {
                         at: *at,
-                        what: format!("{who} answered {late:.0} ms after its setup timeout"),
+                        what: format!("{label} answered {late:.0} ms after its setup timeout"),
                     });
                 }
             }
-            [] if request.gave_up.is_some_and(|(_, patient)| !patient) => left += 1,
-            [] if stopped => excused += 1,
+            [] if request.abandoned.is_some_and(|(_, patient)| !patient) => left += 1,
+            [] if was_down => excused += 1,
             [] => {
-                let at = request.cut.or(request.gave_up.map(|(at, _)| at)).unwrap_or(ends);
-                let how = if request.cut.is_some() { "cut off without an answer" } else { "never answered" };
-                broken.push(Broken { at, what: format!("{who} was {how}") });
-            }
-            [_, (at, _), ..] => {
-                broken.push(Broken { at: *at, what: format!("{who} had {} answers", request.answers.len()) })
+                let at =
+                    request.closed_by_director.or(request.abandoned.map(|(at, _)| at)).unwrap_or(deadline);
+                let outcome = if request.closed_by_director.is_some() {
+                    "disconnected without an answer"
+                } else {
+                    "never answered"
+                };
+                broken.push(Broken { at, what: format!("{label} was {outcome}") });
             }
+            [_, (at, _), ..] => broken
+                .push(Broken { at: *at, what: format!("{label} had {} answers", request.responses.len()) }),
         }
     }
     let counts = format!(
-        "{} requests: {plays} play, {busy} busy, {failed} torn down, {left} left before, {excused} at directors that \
-         were stopped",
+        "{} requests: {started} started, {busy} busy, {failed} failed, {left} abandoned early, {excused} at directors that \
+         were down",
         requests.len()
     );
     Finding { rule: 1, name: "no session is lost", counts, broken }
 }
 
-/// Rule 2: never two SETUPs out for a session, and none sent again, or refused, that may have run and must not be.
-fn twice(plan: &Plan, requests: &Requests, setups: &[Setup]) -> Finding {
+/// Rule 2: a session never has two outstanding SETUPs. Where a SETUP may have run, the session is set up
+/// again only as its group allows, and a session that must not be set up again gets no busy reply.
+fn check_duplicate_setups(plan: &Plan, requests: &Requests, setups: &[NodeSetup]) -> Finding {
     let mut broken = Vec::new();
-    let mut further = 0;
+    let mut further_count = 0;
     for (&(viewer, again), request) in requests {
         let Some(group) = request.group else { continue };
-        let who = format!("viewer {viewer} try {again}");
-        let mut doubt: Option<&Setup> = None;
+        let label = format!("viewer {viewer} try {again}");
+        let mut may_have_run: Option<&NodeSetup> = None;
         for (k, &i) in request.setups.iter().enumerate() {
             let setup = &setups[i];
-            further += usize::from(k > 0);
-            if let Some(&before) =
-                request.setups[..k].iter().find(|&&j| setups[j].out_until() > setup.at + plan.slack)
+            further_count += usize::from(k > 0);
+            if let Some(&earlier) = request.setups[..k]
+                .iter()
+                .find(|&&j| setups[j].outstanding_until() > setup.received_at + plan.slack)
             {
-                let node = setups[before].node;
+                let node = setups[earlier].node;
                 broken.push(Broken {
-                    at: setup.at,
-                    what: format!("{who} has SETUPs out at {node} and {} at once", setup.node),
+                    at: setup.received_at,
+                    what: format!("{label} has SETUPs outstanding at {node} and {} at once", setup.node),
                 });
             }
-            if let Some(first) = doubt
-                && !may_repeat(plan, group, first, setup)
+            if let Some(first) = may_have_run
+                && !may_set_up_again(plan, group, first, setup)
             {
                 broken.push(Broken {
-                    at: setup.at,
+                    at: setup.received_at,
                     what: format!(
-                        "{who} of {} set up again at {}, may have run at {}",
+                        "{label} of {} set up again at {}, may have run at {}",
                         group.name, setup.node, first.node
                     ),
                 });
             }
-            doubt = doubt.or((!setup.never_ran()).then_some(setup));
+            may_have_run = may_have_run.or((!setup.never_ran()).then_some(setup));
         }
-        let refused = request.answers.iter().find(|(_, status)| matches!(status, 453 | 503));
-        if let (Some(&(at, _)), Some(first), Care::Fragile) = (refused, doubt, group.care) {
-            broken
-                .push(Broken { at, what: format!("{who} refused though it may have run at {}", first.node) });
+        let busy_reply = request.responses.iter().find(|(_, status)| matches!(status, 453 | 503));
+        if let (Some(&(at, _)), Some(first), Care::Fragile) = (busy_reply, may_have_run, group.care) {
+            broken.push(Broken {
+                at,
+                what: format!("{label} got a busy reply though it may have run at {}", first.node),
+            });
         }
     }
-    let counts = format!("{} SETUPs, {further} beyond a session's first", setups.len());
+    let counts = format!("{} SETUPs, {further_count} beyond a session's first", setups.len());
     Finding { rule: 2, name: "no set-up happens twice", counts, broken }
 }
 
-fn may_repeat(plan: &Plan, group: &Group, first: &Setup, next: &Setup) -> bool {
-    let place = |name: &str| plan.nodes.iter().find(|n| n.name == name);
+/// Returns whether `next` may follow `first`, which may have run.
+fn may_set_up_again(plan: &Plan, group: &Group, first: &NodeSetup, next: &NodeSetup) -> bool {
+    let node = |name: &str| plan.nodes.iter().find(|n| n.name == name);
     match group.care {
         Care::Safe => true,
         Care::Fragile => false,
         Care::Dedup => {
-            let near = match (group.reach, place(first.node), place(next.node)) {
+            let in_scope = match (group.reach, node(first.node), node(next.node)) {
                 (Reach::Anywhere, ..) => true,
                 (Reach::SameZone, Some(a), Some(b)) => a.zone == b.zone,
                 (Reach::SameCell, Some(a), Some(b)) => a.cell == b.cell,
                 _ => false,
             };
-            near && next.at - first.at <= group.repeat_window + plan.slack
+            in_scope && next.received_at - first.received_at <= group.repeat_window + plan.slack
         }
     }
 }
 
-/// Rule 3: nothing new at a node later than the grace after the director was told.
-fn drains(traffic: &Traffic, requests: &Requests, setups: &[Setup]) -> Finding {
+/// Rule 3: a director sends no SETUP to a node that its list has named as not ready for longer than the grace
+/// period.
+fn check_drains(traffic: &Traffic, requests: &Requests, setups: &[NodeSetup]) -> Finding {
     let grace = traffic.plan.drain_grace;
-    // By director and node: since when it is told as not ready, if it is.
-    let mut told: BTreeMap<(u16, &str), Vec<(f64, bool)>> = BTreeMap::new();
+    // By director and node: the time of each listing, and whether it was ready.
+    let mut listings: BTreeMap<(u16, &str), Vec<(f64, bool)>> = BTreeMap::new();
     for sight in &traffic.sights {
         if let What::Listed { director, node, ready } = &sight.what {
-            told.entry((*director, node)).or_default().push((sight.at, *ready));
+            listings.entry((*director, node)).or_default().push((sight.at, *ready));
         }
     }
-    let drained = told.values().flatten().filter(|(_, ready)| !ready).count();
+    let drained = listings.values().flatten().filter(|(_, ready)| !ready).count();
     let mut broken = Vec::new();
     let mut latest: f64 = 0.0;
     for setup in setups {
-        let Some(director) = requests.get(&setup.viewer).map(|request| request.director) else { continue };
-        let words = told.get(&(director, setup.node)).map_or(&[][..], Vec::as_slice);
-        let last = words.iter().rev().find(|(at, _)| *at <= setup.at);
+        let Some(director) = requests.get(&setup.request).map(|request| request.director) else { continue };
+        let node_listings = listings.get(&(director, setup.node)).map_or(&[][..], Vec::as_slice);
+        let last = node_listings.iter().rev().find(|(at, _)| *at <= setup.received_at);
         if let Some(&(at, false)) = last {
-            let late = setup.at - at;
+            let late = setup.received_at - at;
             latest = latest.max(late);
             if late > grace {
-                let (viewer, again) = setup.viewer;
+                let (viewer, again) = setup.request;
                 broken.push(Broken {
-                    at: setup.at,
+                    at: setup.received_at,
                     what: format!(
-                        "viewer {viewer} try {again} set up at {} {late:.0} ms after director {director} was told",
+                        "viewer {viewer} try {again} set up at {} {late:.0} ms after director {director}'s list changed",
                         setup.node
                     ),
                 });
@@ -352,13 +392,14 @@
         }
     }
     let counts = format!(
-        "{drained} drains or losses told, the last SETUP {latest:.0} ms after one, {grace:.0} allowed"
+        "{drained} drains or losses listed, the last SETUP {latest:.0} ms after one, {grace:.0} allowed"
     );
-    Finding { rule: 3, name: "drains are kept", counts, broken }
+    Finding { rule: 3, name: "drains are respected", counts, broken }
 }
 
-/// Rule 4: within any span a cold node is sent less than the multiple of its present pace.
-fn cold(traffic: &Traffic, setups: &[Setup]) -> Finding {
+/// Rule 4: in any window a cold node receives SETUPs at less than the overload multiple of its current
+/// session rate, which rises linearly from its start.
+fn check_slow_start(traffic: &Traffic, setups: &[NodeSetup]) -> Finding {
     let plan = &traffic.plan;
     let mut started: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
     let mut broken = Vec::new();
@@ -366,74 +407,76 @@
         match &sight.what {
             What::NodeStarted { node } => started.entry(node).or_default().push(sight.at),
             What::NodeFell { node } => {
-                broken.push(Broken { at: sight.at, what: format!("{node} was pushed over") });
+                broken.push(Broken { at: sight.at, what: format!("{node} was overloaded while cold") });
             }
             _ => {}
         }
     }
-    let (mut seen, mut fullest) = (0, 0.0f64);
+    let (mut cold_setups, mut max_used) = (0, 0.0f64);
     for node in &plan.nodes {
         for &start in started.get(node.name.as_str()).into_iter().flatten() {
             let mut window: VecDeque<f64> = VecDeque::new();
             for setup in setups.iter().filter(|s| s.node == node.name) {
-                let age = setup.at - start;
+                let age = setup.received_at - start;
                 if !(0.0..plan.warm_after).contains(&age) {
                     continue;
                 }
-                seen += 1;
-                window.push_back(setup.at);
-                while window.front().is_some_and(|&at| at < setup.at - plan.fall_span) {
+                cold_setups += 1;
+                window.push_back(setup.received_at);
+                while window.front().is_some_and(|&at| at < setup.received_at - plan.fall_span) {
                     window.pop_front();
                 }
-                let warmth = plan.cold_from + (1.0 - plan.cold_from) * age / plan.warm_after;
-                let pace = node.places / plan.warm_after * warmth;
-                // One more, for chance: arrivals are whole.
-                let allowed = plan.fall_multiple * pace * plan.fall_span + 1.0;
-                fullest = fullest.max(window.len() as f64 / allowed);
+                let capacity_fraction = plan.cold_from + (1.0 - plan.cold_from) * age / plan.warm_after;
+                let session_rate = node.places / plan.warm_after * capacity_fraction;
+                // One more, as SETUPs arrive in whole numbers.
+                let allowed = plan.fall_multiple * session_rate * plan.fall_span + 1.0;
+                max_used = max_used.max(window.len() as f64 / allowed);
                 if window.len() as f64 > allowed {
                     broken.push(Broken {
-                        at: setup.at,
+                        at: setup.received_at,
                         what: format!("{} was sent {} SETUPs, {allowed:.1} allowed", node.name, window.len()),
                     });
                 }
             }
         }
     }
-    let starts: usize = started.values().map(Vec::len).sum();
+    let start_count: usize = started.values().map(Vec::len).sum();
     let counts = format!(
-        "{starts} starts, {seen} SETUPs at cold nodes, {:.0}% of what one stands at most",
-        fullest * 100.0
+        "{start_count} starts, {cold_setups} SETUPs at cold nodes, at most {:.0}% of a node's limit",
+        max_used * 100.0
     );
-    Finding { rule: 4, name: "a cold media node is not pushed over", counts, broken }
+    Finding { rule: 4, name: "cold media nodes are not overloaded", counts, broken }
 }
 
-/// Rule 5: no rung under the floor, no more sessions of one title and group at one director than its seats.
-fn terms(plan: &Plan, requests: &Requests, setups: &[Setup]) -> Finding {
+/// Rule 5: no session gets a rung below the floor of its group, and no director holds more sessions of one
+/// title and group than the group has seats.
+fn check_floors_and_seats(plan: &Plan, requests: &Requests, setups: &[NodeSetup]) -> Finding {
     let mut broken = Vec::new();
-    let mut most = 0;
+    let mut max_taken = 0;
     for setup in setups {
-        if let Some(group) = requests.get(&setup.viewer).and_then(|r| r.group)
-            && setup.lowest < group.floor
+        if let Some(group) = requests.get(&setup.request).and_then(|r| r.group)
+            && setup.lowest_rung < group.floor
         {
-            let (viewer, again) = setup.viewer;
+            let (viewer, again) = setup.request;
             let what = format!(
-                "viewer {viewer} try {again} of {} at rung {}, under its floor",
-                group.name, setup.lowest
+                "viewer {viewer} try {again} of {} at rung {}, below its floor",
+                group.name, setup.lowest_rung
             );
-            broken.push(Broken { at: setup.at, what });
+            broken.push(Broken { at: setup.received_at, what });
         }
     }
     for group in plan.groups.iter().filter(|g| g.seats > 0) {
-        // Times at which a seat is taken and given back. One is given back when the node has said no or the
-        // session is over there.
+        // By director and title: times at which a seat is taken (+1) and released (-1). A seat is released
+        // when the node has rejected the SETUP or the session has ended there.
         let mut seats: BTreeMap<(u16, &str), Vec<(f64, i64)>> = BTreeMap::new();
         for setup in setups {
-            let Some(request) = requests.get(&setup.viewer) else { continue };
+            let Some(request) = requests.get(&setup.request) else { continue };
             if request.group.is_some_and(|g| g.name == group.name) {
-                let refused = setup.answered.filter(|(_, status)| *status != 200).map(|(at, _)| at);
-                let end = refused.or(setup.closed).unwrap_or(f64::INFINITY);
-                let list = seats.entry((request.director, request.title)).or_default();
-                list.extend([(setup.at, 1), ((end - plan.slack).max(setup.at), -1)]);
+                let rejected_at = setup.response.filter(|(_, status)| *status != 200).map(|(at, _)| at);
+                let end = rejected_at.or(setup.closed_at).unwrap_or(f64::INFINITY);
+                let seat_changes = seats.entry((request.director, request.title)).or_default();
+                seat_changes
+                    .extend([(setup.received_at, 1), ((end - plan.slack).max(setup.received_at), -1)]);
             }
         }
         for ((director, title), mut changes) in seats {
@@ -441,7 +484,7 @@
             let mut taken = 0;
             for (at, change) in changes {
                 taken += change;
-                most = most.max(taken);
+                max_taken = max_taken.max(taken);
                 if taken > group.seats as i64 {
                     let what =
                         format!("director {director} holds {taken} sessions of {title} for {}", group.name);
@@ -451,55 +494,60 @@
         }
     }
     let counts =
-        format!("{} SETUPs looked at for floors, {most} seats of one title taken at most", setups.len());
-    Finding { rule: 5, name: "terms are kept", counts, broken }
+        format!("{} SETUPs checked for floors, at most {max_taken} seats of one title taken", setups.len());
+    Finding { rule: 5, name: "floors and seats are respected", counts, broken }
 }
 
-/// Rule 6: in any span one director's SETUPs beyond a session's first stay within the budget.
-fn ration(plan: &Plan, requests: &Requests, setups: &[Setup]) -> Finding {
+/// Rule 6: in any window the further SETUPs of one director, those after the first of their session, stay
+/// within the retry budget.
+fn check_retry_budget(plan: &Plan, requests: &Requests, setups: &[NodeSetup]) -> Finding {
     let name = "further SETUPs stay within the budget";
-    let Some((free, per_session, span)) = plan.ration else {
+    let Some((base_retries, per_session, window)) = plan.ration else {
         return Finding { rule: 6, name, counts: "no budget is set".into(), broken: Vec::new() };
     };
     let mut broken = Vec::new();
-    let mut fullest = 0.0f64;
-    let mut taken: BTreeMap<u16, Vec<f64>> = BTreeMap::new();
-    let mut further: BTreeMap<u16, Vec<f64>> = BTreeMap::new();
+    let mut max_used = 0.0f64;
+    // By director: times of its viewers' requests, and of its further SETUPs.
+    let mut requested: BTreeMap<u16, Vec<f64>> = BTreeMap::new();
+    let mut further_setups: BTreeMap<u16, Vec<f64>> = BTreeMap::new();
     for request in requests.values() {
-        taken.entry(request.director).or_default().push(request.at);
-        let later = request.setups.iter().skip(1).map(|&i| setups[i].at);
-        further.entry(request.director).or_default().extend(later);
+        requested.entry(request.director).or_default().push(request.sent_at);
+        let later = request.setups.iter().skip(1).map(|&i| setups[i].received_at);
+        further_setups.entry(request.director).or_default().extend(later);
     }
-    for (director, mut times) in further {
+    for (director, mut times) in further_setups {
         times.sort_by(f64::total_cmp);
-        let taken = taken.get(&director).map_or(&[][..], Vec::as_slice);
+        let requested = requested.get(&director).map_or(&[][..], Vec::as_slice);
         for (i, &at) in times.iter().enumerate() {
-            let within = |t: &&f64| **t > at - span && **t <= at;
-            let made = times[..=i].iter().filter(within).count() as f64;
-            // Requests of the last moment may have been counted on either side of the window's edge.
-            let sessions = taken.iter().filter(|&&t| t > at - span - plan.slack && t <= at).count() as f64;
-            let allowed = free + per_session * sessions;
-            fullest = fullest.max(made / allowed.max(1e-9));
-            if made > allowed {
-                let what = format!("director {director} made {made} further SETUPs, {allowed:.1} allowed");
+            let in_window = |t: &&f64| **t > at - window && **t <= at;
+            let sent = times[..=i].iter().filter(in_window).count() as f64;
+            // The director may count a request near the edge of the window on either side of it.
+            let sessions =
+                requested.iter().filter(|&&t| t > at - window - plan.slack && t <= at).count() as f64;
+            let allowed = base_retries + per_session * sessions;
+            max_used = max_used.max(sent / allowed.max(1e-9));
+            if sent > allowed {
+                let what = format!("director {director} sent {sent} further SETUPs, {allowed:.1} allowed");
                 broken.push(Broken { at, what });
             }
         }
     }
-    let counts = format!("{:.0}% of the budget used at most", fullest * 100.0);
+    let counts = format!("at most {:.0}% of the budget used", max_used * 100.0);
     Finding { rule: 6, name, counts, broken }
 }
 
-fn service(requests: &Requests, of: impl Fn(&Group) -> bool) -> (f64, usize) {
-    // By viewer: what it is worth, and whether one of its tries was answered in time.
+/// Returns the service level of the selected groups, and the number of their viewers.
+fn service_level(requests: &Requests, is_selected: impl Fn(&Group) -> bool) -> (f64, usize) {
+    // By viewer: its utility, and whether one of its attempts started within the start target.
     let mut viewers: BTreeMap<u64, (f64, bool)> = BTreeMap::new();
     for (&(viewer, _), request) in requests {
-        let Some(group) = request.group.filter(|group| of(group)) else { continue };
-        let in_time = |&(at, status): &(f64, u16)| status == 200 && at - request.at <= group.start_target;
+        let Some(group) = request.group.filter(|group| is_selected(group)) else { continue };
+        let in_time =
+            |&(at, status): &(f64, u16)| status == 200 && at - request.sent_at <= group.start_target;
         let entry = viewers.entry(viewer).or_insert((group.utility, false));
-        entry.1 |= request.answers.iter().any(in_time);
+        entry.1 |= request.responses.iter().any(in_time);
     }
-    let asked: f64 = viewers.values().map(|(utility, _)| utility).sum();
-    let answered: f64 = viewers.values().filter(|(_, in_time)| *in_time).map(|(utility, _)| utility).sum();
-    (if asked > 0.0 { answered / asked } else { 0.0 }, viewers.len())
+    let requested: f64 = viewers.values().map(|(utility, _)| utility).sum();
+    let started: f64 = viewers.values().filter(|(_, in_time)| *in_time).map(|(utility, _)| utility).sum();
+    (if requested > 0.0 { started / requested } else { 0.0 }, viewers.len())
 }
