--- a/crates/standin/src/connection.rs
+++ b/crates/standin/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a media node, with the session that lives on it.
+//! An RTSP connection to a stand-in media node, with its session.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -16,59 +16,64 @@
 
 use crate::node::{CLOCK_RATES, Fleet, Node, Stream};
 
-/// Packets that wait for a connection at most.
-const QUEUE: usize = 256;
+/// Maximum number of media packets that wait to be written to a connection.
+const MAX_QUEUED_PACKETS: usize = 256;
 
+/// The state of a connection.
 struct Connection {
     fleet: Arc<Fleet>,
     node: Arc<Node>,
-    /// The session's number at the node; a new one for each, so that a connection that is used again is told apart.
+    /// Number of the session, unique at the node: each further session on the connection gets a new one.
     number: u64,
     out: mpsc::Sender<Packet>,
     session: Option<String>,
-    /// Its SETUP has its answer.
+    /// Whether the response to the session's first SETUP was sent.
     answered: bool,
 }
 
-/// What becomes of a request.
+/// How a request is answered.
 enum Reply {
-    Now(Response),
-    At(Instant, Response),
-    /// Handled, and the answer is dropped.
-    Lost,
+    Immediate(Response),
+    /// The response is sent at that time.
+    Delayed(Instant, Response),
+    /// The request was handled, and the response is dropped.
+    Dropped,
+    /// The connection is reset.
     Reset,
 }
 
+/// Serves a connection until it closes or the node's process ends.
 pub(crate) async fn run(fleet: Arc<Fleet>, node: Arc<Node>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let mut framed = Framed::new(stream, Codec::default());
-    let (out, mut frames) = mpsc::channel(QUEUE);
+    let (out, mut frames) = mpsc::channel(MAX_QUEUED_PACKETS);
     let mut changes = node.changes.subscribe();
-    let number = node.connection();
-    let mut this = Connection { fleet, node: node.clone(), number, out, session: None, answered: false };
-    // Requests are read at once, for the record, and handled when the node works.
+    let number = node.next_connection();
+    let mut connection =
+        Connection { fleet, node: node.clone(), number, out, session: None, answered: false };
+    // Requests are recorded as they arrive, and handled while the node doesn't hang.
     let mut backlog: VecDeque<Request> = VecDeque::new();
-    let mut late: Option<(Instant, Response)> = None;
+    let mut delayed: Option<(Instant, Response)> = None;
     let mut reset = false;
     loop {
-        if !node.state().up {
+        if !node.state().running {
             reset = true;
             break;
         }
-        let works = !node.state().faults.hang;
-        if works
-            && late.is_none()
+        let responsive = !node.state().faults.hang;
+        if responsive
+            && delayed.is_none()
             && let Some(request) = backlog.pop_front()
         {
-            match this.handle(&request) {
-                Reply::Now(response) => {
-                    this.answers(&response);
+            match connection.handle(&request) {
+                Reply::Immediate(response) => {
+                    connection.record_response(&response);
                     if framed.send(Packet::Response(response)).await.is_err() {
                         break;
                     }
                 }
-                Reply::At(at, response) => late = Some((at, response)),
-                Reply::Lost => {}
+                Reply::Delayed(at, response) => delayed = Some((at, response)),
+                Reply::Dropped => {}
                 Reply::Reset => {
                     reset = true;
                     break;
@@ -76,9 +81,9 @@
             }
             continue;
         }
-        let due = late.as_ref().map(|(at, _)| *at);
-        let wait = async {
-            match due {
+        let due_at = delayed.as_ref().map(|(at, _)| *at);
+        let wait_until_due = async {
+            match due_at {
                 Some(at) => tokio::time::sleep_until(at).await,
                 None => std::future::pending().await,
             }
@@ -86,20 +91,20 @@
         tokio::select! {
             packet = framed.next() => match packet {
                 Some(Ok(Packet::Request(request))) if backlog.len() < 64 => {
-                    this.arrived(&request);
+                    connection.record_setup(&request);
                     backlog.push_back(request);
                 }
                 Some(Ok(_)) => {}
                 Some(Err(_)) | None => break,
             },
-            () = wait, if works => {
-                let Some((_, response)) = late.take() else { continue };
-                this.answers(&response);
+            () = wait_until_due, if responsive => {
+                let Some((_, response)) = delayed.take() else { continue };
+                connection.record_response(&response);
                 if framed.send(Packet::Response(response)).await.is_err() {
                     break;
                 }
             }
-            Some(packet) = frames.recv(), if works => {
+            Some(packet) = frames.recv(), if responsive => {
                 if framed.feed(packet).await.is_err() {
                     break;
                 }
@@ -115,61 +120,67 @@
             _ = changes.changed() => {}
         }
     }
-    this.close(false);
+    connection.close_session(false);
     if reset {
         let _ = framed.get_ref().set_zero_linger();
     }
 }
 
 impl Connection {
-    fn name(&self) -> String {
+    fn node_name(&self) -> String {
         self.node.spec.name.clone()
     }
 
-    /// Notes a SETUP as it arrives.
-    fn arrived(&mut self, request: &Request) {
-        // A SETUP that names the session is one of a further track.
+    /// Records the first SETUP of a session as it arrives, and begins the session.
+    fn record_setup(&mut self, request: &Request) {
+        // A SETUP with a session ID is for a further track.
         if *request.method() != Method::Setup || request.header(&headers::SESSION).is_some() {
             return;
         }
         if self.session.is_some() {
-            self.close(true);
+            self.close_session(true);
         }
-        self.number = self.node.connection();
+        self.number = self.node.next_connection();
         if let Some(url) = request.request_uri()
             && let Some((viewer, again)) = viewer_of(url)
         {
             let title = url.path().trim_start_matches('/').split('/').next().unwrap_or_default().to_string();
-            let (node, connection, rung) = (self.name(), self.number, rung_of(url).unwrap_or(0));
-            self.node.log.saw(What::Setup { node, connection, viewer, again, title, rung });
+            let (node, connection, rung) = (self.node_name(), self.number, rung_of(url).unwrap_or(0));
+            self.node.recorder.saw(What::Setup { node, connection, viewer, again, title, rung });
         }
         self.session = Some(format!("{}", self.number));
         self.answered = false;
     }
 
-    /// Notes the answer to a SETUP as it is written.
-    fn answers(&mut self, response: &Response) {
+    /// Records the response to the first SETUP of a session as it is written.
+    fn record_response(&mut self, response: &Response) {
         if response.header(&headers::SESSION).is_some() && !std::mem::replace(&mut self.answered, true) {
             let status = u16::from(response.status());
-            self.node.log.saw(What::SetupAnswered { node: self.name(), connection: self.number, status });
+            self.node.recorder.saw(What::SetupAnswered {
+                node: self.node_name(),
+                connection: self.number,
+                status,
+            });
         }
     }
 
-    /// The session, or the connection, is over.
-    fn close(&mut self, torn_down: bool) {
+    /// Ends the session by a teardown, or because its connection has closed; the node may then keep it for a
+    /// while.
+    fn close_session(&mut self, torn_down: bool) {
         let mut state = self.node.state();
         let held = state.streams.keys().any(|(session, _)| *session == self.number);
         if held && !torn_down && !state.faults.keeps.is_zero() {
             state.orphans.insert(self.number, Instant::now());
         } else {
-            state.end(self.number);
+            state.end_session(self.number);
         }
         drop(state);
         if self.session.take().is_some() {
-            self.node.log.saw(What::Closed { node: self.name(), connection: self.number });
+            self.node.recorder.saw(What::Closed { node: self.node_name(), connection: self.number });
         }
     }
 
+    /// Handles a request.
     fn handle(&mut self, request: &Request) -> Reply {
         let cseq = messages::cseq(request);
         let mut ok = messages::response(StatusCode::Ok, cseq.as_deref());
@@ -178,42 +189,55 @@
             Method::Play => {
                 let mut state = self.node.state();
                 let random = state.random.rand_u64();
-                let mine = (self.number, 0)..=(self.number, u8::MAX);
-                let mut streams = state.streams.range_mut(mine);
-                // The first is the one that has renditions, if it is video.
+                let session_tracks = (self.number, 0)..=(self.number, u8::MAX);
+                let mut streams = state.streams.range_mut(session_tracks);
+                // Only video, the first track, has several renditions.
                 let Some((&(_, track), stream)) = streams.next() else {
-                    return Reply::Now(messages::response(StatusCode::SessionNotFound, cseq.as_deref()));
+                    return Reply::Immediate(messages::response(
+                        StatusCode::SessionNotFound,
+                        cseq.as_deref(),
+                    ));
                 };
                 streams.for_each(|(_, other)| other.playing = true);
                 let switch = request.header(&messages::switch_stream());
                 if let Some(rung) = switch.and_then(|v| rung_of(&messages::switched_to(v.as_str())?)) {
-                    // Another rendition has an SSRC, a sequence and a clock of its own.
+                    // Each rendition has its own SSRC, sequence numbers and timestamps.
                     let (rate, playing) = (self.fleet.rate(track, rung), stream.playing);
                     let clock_rate = CLOCK_RATES[usize::from(track)];
                     *stream = Stream::new(rate, self.out.clone(), stream.channel, clock_rate, random);
                     stream.playing = playing;
                     let (node, connection) = (self.node.spec.name.clone(), self.number);
-                    self.node.log.saw(What::Switched { node, connection, rung });
+                    self.node.recorder.saw(What::Switched { node, connection, rung });
                 }
                 stream.playing = true;
                 ok.insert_header(headers::RANGE, "npt=0.000-");
-                let mine = (self.number, 0)..=(self.number, u8::MAX);
-                let begins = state.streams.range(mine).map(|(&(_, track), stream)| stream.begins(track));
+                let session_tracks = (self.number, 0)..=(self.number, u8::MAX);
+                let begins = state
+                    .streams
+                    .range(session_tracks)
+                    .map(|(&(_, track), stream)| stream.next_packet(track));
                 let base = request.request_uri().map(|url| url.path().to_string()).unwrap_or_default();
                 let info = presentation::write_rtp_info(begins, |track| format!("{base}/track{}", track + 1));
                 ok.insert_header(headers::RTP_INFO, info);
             }
             Method::Pause => {
-                let mine = (self.number, 0)..=(self.number, u8::MAX);
-                self.node.state().streams.range_mut(mine).for_each(|(_, stream)| stream.playing = false);
+                let session_tracks = (self.number, 0)..=(self.number, u8::MAX);
+                self.node
+                    .state()
+                    .streams
+                    .range_mut(session_tracks)
+                    .for_each(|(_, stream)| stream.playing = false);
             }
             Method::Teardown => {
                 let session = request.header(&headers::SESSION).map(|s| messages::session_id(s.as_str()));
-                let named = session.and_then(|s| s.parse::<u64>().ok()).unwrap_or(self.number);
-                if named == self.number {
-                    self.close(true);
-                } else if !self.node.state().end(named) {
-                    return Reply::Now(messages::response(StatusCode::SessionNotFound, cseq.as_deref()));
+                let number = session.and_then(|s| s.parse::<u64>().ok()).unwrap_or(self.number);
+                if number == self.number {
+                    self.close_session(true);
+                } else if !self.node.state().end_session(number) {
+                    return Reply::Immediate(messages::response(
+                        StatusCode::SessionNotFound,
+                        cseq.as_deref(),
+                    ));
                 }
             }
             Method::GetParameter => {
@@ -224,45 +248,46 @@
             Method::Options => {
                 ok.insert_header(headers::PUBLIC, "OPTIONS, SETUP, PLAY, PAUSE, TEARDOWN, GET_PARAMETER");
             }
-            _ => return Reply::Now(messages::response(StatusCode::NotImplemented, cseq.as_deref())),
+            _ => return Reply::Immediate(messages::response(StatusCode::NotImplemented, cseq.as_deref())),
         }
-        Reply::Now(ok)
+        Reply::Immediate(ok)
     }
 
+    /// Handles a SETUP of a session's first or a further track.
     fn setup(&mut self, request: &Request, cseq: Option<String>) -> Reply {
         let track = request.request_uri().and_then(track_of).unwrap_or(0).min(1);
-        let further = request.header(&headers::SESSION).is_some();
-        if further && !self.node.state().streams.keys().any(|(session, _)| *session == self.number) {
-            return Reply::Now(messages::response(StatusCode::SessionNotFound, cseq.as_deref()));
+        let is_further_track = request.header(&headers::SESSION).is_some();
+        if is_further_track && !self.node.state().streams.keys().any(|(session, _)| *session == self.number) {
+            return Reply::Immediate(messages::response(StatusCode::SessionNotFound, cseq.as_deref()));
         }
-        if !further && self.fleet.pushed_over(&self.node) {
+        if !is_further_track && self.fleet.overloads(&self.node) {
             return Reply::Reset;
         }
         let faults = self.node.state().faults.clone();
-        let chance = self.node.state().random.rand_float();
-        if !further && chance < faults.resets {
+        let draw = self.node.state().random.rand_float();
+        if !is_further_track && draw < faults.resets {
             return Reply::Reset;
         }
         let load = self.fleet.load(&self.node);
-        let answer = |status| {
-            let mut answer = messages::response(status, cseq.as_deref());
-            answer.insert_header(load::header(), load.line());
-            // Marks the answer to a SETUP, refused or not, for the record.
-            answer.insert_header(headers::SESSION, format!("{};timeout=60", self.number));
-            answer
+        let respond = |status| {
+            let mut response = messages::response(status, cseq.as_deref());
+            response.insert_header(load::header(), load.line());
+            // Also on rejections: by this header a response to a SETUP is recognized and recorded.
+            response.insert_header(headers::SESSION, format!("{};timeout=60", self.number));
+            response
         };
-        let left_out = Channels { rtp: track * 2, rtcp: track * 2 + 1 };
+        let default_channels = Channels { rtp: track * 2, rtcp: track * 2 + 1 };
         let transport = request.header(&headers::TRANSPORT);
-        let channels = transport.and_then(|t| messages::interleaved(t.as_str(), left_out));
+        let channels = transport.and_then(|t| messages::interleaved(t.as_str(), default_channels));
         let rung = request.request_uri().and_then(rung_of);
         let (channels, rung) = match (channels, rung) {
-            _ if !further && chance < faults.resets + faults.errors => {
-                return Reply::Now(answer(StatusCode::InternalServerError));
+            _ if !is_further_track && draw < faults.resets + faults.errors => {
+                return Reply::Immediate(respond(StatusCode::InternalServerError));
             }
-            (None, _) => return Reply::Now(answer(StatusCode::UnsupportedTransport)),
-            (_, None) => return Reply::Now(answer(StatusCode::NotFound)),
-            _ if !further && self.fleet.full(&self.node) => {
-                return Reply::Now(answer(StatusCode::NotEnoughBandwidth));
+            (None, _) => return Reply::Immediate(respond(StatusCode::UnsupportedTransport)),
+            (_, None) => return Reply::Immediate(respond(StatusCode::NotFound)),
+            _ if !is_further_track && self.fleet.is_full(&self.node) => {
+                return Reply::Immediate(respond(StatusCode::NotEnoughBandwidth));
             }
             (Some(channels), Some(rung)) => (channels, rung),
         };
@@ -276,25 +301,25 @@
         let mut at = Instant::now();
         if faults.queue {
             let mut state = self.node.state();
-            at = at.max(state.busy_until);
-            state.busy_until = at + faults.delay;
+            at = at.max(state.setup_queue_ends);
+            state.setup_queue_ends = at + faults.delay;
         }
-        let mut ok = answer(StatusCode::Ok);
+        let mut ok = respond(StatusCode::Ok);
         ok.insert_header(headers::TRANSPORT, channels.granted(Some(random as u32)));
-        match faults.answer_lost && !further {
-            true => Reply::Lost,
-            false if faults.delay.is_zero() => Reply::Now(ok),
-            false => Reply::At(at + faults.delay, ok),
+        match faults.answer_lost && !is_further_track {
+            true => Reply::Dropped,
+            false if faults.delay.is_zero() => Reply::Immediate(ok),
+            false => Reply::Delayed(at + faults.delay, ok),
         }
     }
 }
 
-/// The track that a URL names, from 0.
+/// Returns the index of the track that a URL names (`/track1` is 0).
 fn track_of(url: &Url) -> Option<u8> {
     url.path().rsplit('/').next()?.strip_prefix("track")?.parse::<u8>().ok()?.checked_sub(1)
 }
 
-/// The viewer and its try, from a URL's query: `viewer=N.K`.
+/// Returns the viewer and the attempt from a URL's query, where they are given as `viewer=N.K`.
 fn viewer_of(url: &Url) -> Option<(u64, u32)> {
     let (_, value) = url.query_pairs().find(|(name, _)| name == "viewer")?;
     let (viewer, again) = value.split_once('.')?;
--- a/crates/standin/src/hls.rs
+++ b/crates/standin/src/hls.rs
@@ -1,5 +1,6 @@
-//! A media node's HLS: live playlists of segments of a second, made as they are asked for, with sizes that are those of
-//! their rung. Sessions share link and places with those of RTSP; who fetches nothing for a while has gone.
+//! The HLS server of a stand-in media node: live playlists and one-second segments, generated on request with
+//! the size of their rung. HLS and RTSP sessions share the node's link and its maximum number of sessions. An
+//! HLS session ends when it has requested nothing for a while.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -18,14 +19,14 @@
 
 use crate::node::{CLOCK_RATES, Fleet, Node, Stream};
 
-/// Segments in a playlist; each is of a second.
-const WINDOW: u64 = 6;
-/// A session is over when nothing of it was asked for so long.
-const QUIET: Duration = Duration::from_secs(4);
-/// What a segment takes where the link has room.
-const QUICK: f64 = 0.04;
+/// Number of segments in a media playlist, one second each.
+const PLAYLIST_SEGMENTS: u64 = 6;
+/// Time without a request after which a session ends.
+const SESSION_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Time to serve a segment while the link is not full.
+const SEGMENT_SERVE_SECONDS: f64 = 0.04;
 
-/// The connection is to be reset.
+/// The error by which a handler resets its connection.
 #[derive(Debug)]
 struct Reset;
 
@@ -37,121 +38,130 @@
 
 impl std::error::Error for Reset {}
 
+/// A response, or a reset of the connection.
 type Reply = Result<Response<Full<Bytes>>, Reset>;
 
+/// Accepts connections until the node's process ends, and ends idle sessions.
 pub async fn accept(fleet: Arc<Fleet>, node: Arc<Node>, listener: TcpListener) {
     let mut changes = node.changes.subscribe();
     let mut tick = tokio::time::interval(Duration::from_millis(500));
     loop {
-        if !node.state().up {
+        if !node.state().running {
             return;
         }
         tokio::select! {
             accepted = listener.accept() => if let Ok((stream, _)) = accepted {
                 let _ = stream.set_nodelay(true);
-                tokio::spawn(connection(fleet.clone(), node.clone(), stream));
+                tokio::spawn(serve_connection(fleet.clone(), node.clone(), stream));
             },
-            _ = tick.tick() => quiet(&node),
+            _ = tick.tick() => end_idle_sessions(&node),
             _ = changes.changed() => {}
         }
     }
 }
 
-/// Ends sessions of which nothing was heard.
-fn quiet(node: &Node) {
+/// Ends sessions whose last request is too long ago.
+fn end_idle_sessions(node: &Node) {
     let mut state = node.state();
-    let gone: Vec<(String, u64, Duration)> = state
-        .hls
+    let expired: Vec<(String, u64, Duration)> = state
+        .hls_sessions
         .iter()
-        .filter(|(_, (_, heard))| heard.elapsed() > QUIET)
-        .map(|(viewer, (number, heard))| (viewer.clone(), *number, heard.elapsed()))
+        .filter(|(_, (_, last_request))| last_request.elapsed() > SESSION_IDLE_TIMEOUT)
+        .map(|(viewer, (number, last_request))| (viewer.clone(), *number, last_request.elapsed()))
         .collect();
-    for (viewer, number, _) in &gone {
-        state.hls.remove(viewer);
-        state.end(*number);
+    for (viewer, number, _) in &expired {
+        state.hls_sessions.remove(viewer);
+        state.end_session(*number);
     }
     drop(state);
-    // Nobody has had it since it was last asked for.
-    for (_, connection, ago) in gone {
-        node.log.saw_before(ago, What::Closed { node: node.spec.name.clone(), connection });
+    // The viewer stopped using it after its last request.
+    for (_, connection, ago) in expired {
+        node.recorder.saw_before(ago, What::Closed { node: node.spec.name.clone(), connection });
     }
 }
 
-async fn connection(fleet: Arc<Fleet>, node: Arc<Node>, stream: tokio::net::TcpStream) {
+/// Serves a connection until it closes or the node's process ends.
+async fn serve_connection(fleet: Arc<Fleet>, node: Arc<Node>, stream: tokio::net::TcpStream) {
     let mut changes = node.changes.subscribe();
-    let (of, at) = (fleet.clone(), node.clone());
-    let service = hyper::service::service_fn(move |request| answer(of.clone(), at.clone(), request));
-    let served = hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-    tokio::pin!(served);
+    let (handler_fleet, handler_node) = (fleet.clone(), node.clone());
+    let service = hyper::service::service_fn(move |request| {
+        handle(handler_fleet.clone(), handler_node.clone(), request)
+    });
+    let serving = hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
+    tokio::pin!(serving);
     loop {
         tokio::select! {
-            _ = &mut served => return,
-            _ = changes.changed() => if !node.state().up {
+            _ = &mut serving => return,
+            _ = changes.changed() => if !node.state().running {
                 return;
             }
         }
     }
 }
 
-fn element(request: &Request<Incoming>, name: &str) -> Option<String> {
+/// Returns the value of a query parameter.
+fn query_parameter(request: &Request<Incoming>, name: &str) -> Option<String> {
     let pairs = request.uri().query().unwrap_or_default().split('&');
     pairs.filter_map(|pair| pair.split_once('=')).find(|(key, _)| *key == name).map(|(_, v)| v.to_string())
 }
 
-/// The first and last byte of a range that is within the size; one range alone is known here.
-fn range(request: &Request<Incoming>, size: usize) -> Option<(usize, usize)> {
+/// Returns the first and last byte of the requested range, cut to the size. Only a single range with both
+/// ends is supported.
+fn byte_range(request: &Request<Incoming>, size: usize) -> Option<(usize, usize)> {
     let text = request.headers().get(RANGE)?.to_str().ok()?.strip_prefix("bytes=")?;
-    let (from, to) = text.split_once('-')?;
-    let (from, to) = (from.parse().ok()?, to.parse::<usize>().ok()?.min(size.checked_sub(1)?));
-    (from <= to).then_some((from, to))
+    let (first, last) = text.split_once('-')?;
+    let (first, last) = (first.parse().ok()?, last.parse::<usize>().ok()?.min(size.checked_sub(1)?));
+    (first <= last).then_some((first, last))
 }
 
+/// Builds a response that reports the node's load.
 fn reply(
     fleet: &Fleet,
     node: &Node,
     status: StatusCode,
-    kind: &'static str,
+    content_type: &'static str,
     body: impl Into<Bytes>,
 ) -> Reply {
     let mut reply = Response::new(Full::new(body.into()));
     *reply.status_mut() = status;
-    reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(kind));
+    reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     if let Ok(load) = HeaderValue::from_str(&fleet.load(node).line()) {
         reply.headers_mut().insert("x-load", load);
     }
     Ok(reply)
 }
 
-const PLAYLIST: &str = "application/vnd.apple.mpegurl";
+const PLAYLIST_CONTENT_TYPE: &str = "application/vnd.apple.mpegurl";
 
-async fn answer(fleet: Arc<Fleet>, node: Arc<Node>, request: Request<Incoming>) -> Reply {
-    let hangs = || node.state().faults.hang;
+/// Handles a request for a playlist or a segment.
+async fn handle(fleet: Arc<Fleet>, node: Arc<Node>, request: Request<Incoming>) -> Reply {
+    let is_hanging = || node.state().faults.hang;
     let mut changes = node.changes.subscribe();
-    while hangs() {
+    while is_hanging() {
         let _ = changes.changed().await;
     }
     let parts: Vec<&str> = request.uri().path().trim_start_matches('/').split('/').collect();
-    let viewer = element(&request, "viewer").unwrap_or_default();
-    let rung = |name: &str| name.strip_prefix('v').and_then(|n| n.parse::<u8>().ok());
+    let viewer = query_parameter(&request, "viewer").unwrap_or_default();
+    let rung_of = |name: &str| name.strip_prefix('v').and_then(|n| n.parse::<u8>().ok());
     match parts[..] {
-        [title, "index.m3u8"] => setup(&fleet, &node, title, &viewer, &request).await,
-        [_, variant, "index.m3u8"] if rung(variant).is_some() => {
-            heard(&fleet, &node, &viewer, rung(variant).unwrap_or(0));
-            reply(&fleet, &node, StatusCode::OK, PLAYLIST, media(&viewer))
+        [title, "index.m3u8"] => start_session(&fleet, &node, title, &viewer, &request).await,
+        [_, variant, "index.m3u8"] if rung_of(variant).is_some() => {
+            record_activity(&fleet, &node, &viewer, rung_of(variant).unwrap_or(0));
+            reply(&fleet, &node, StatusCode::OK, PLAYLIST_CONTENT_TYPE, media_playlist(&viewer))
         }
-        [_, variant, _] if rung(variant).is_some() => {
-            let rung = rung(variant).unwrap_or(0);
-            heard(&fleet, &node, &viewer, rung);
-            let share = fleet.share(&node);
-            let takes = if share < 1.0 { 1.0 / share } else { QUICK };
-            tokio::time::sleep(Duration::from_secs_f64(takes)).await;
+        [_, variant, _] if rung_of(variant).is_some() => {
+            let rung = rung_of(variant).unwrap_or(0);
+            record_activity(&fleet, &node, &viewer, rung);
+            let fraction = fleet.delivered_fraction(&node);
+            let seconds = if fraction < 1.0 { 1.0 / fraction } else { SEGMENT_SERVE_SECONDS };
+            tokio::time::sleep(Duration::from_secs_f64(seconds)).await;
             let size = (fleet.rate(0, rung) * 1e3) as usize;
-            let Some((from, to)) = range(&request, size) else {
+            let Some((first, last)) = byte_range(&request, size) else {
                 return reply(&fleet, &node, StatusCode::OK, "video/mp2t", vec![0x47; size]);
             };
-            let part = vec![0x47; to + 1 - from];
-            let mut reply = reply(&fleet, &node, StatusCode::PARTIAL_CONTENT, "video/mp2t", part)?;
-            if let Ok(value) = HeaderValue::from_str(&format!("bytes {from}-{to}/{size}")) {
+            let content = vec![0x47; last + 1 - first];
+            let mut reply = reply(&fleet, &node, StatusCode::PARTIAL_CONTENT, "video/mp2t", content)?;
+            if let Ok(value) = HeaderValue::from_str(&format!("bytes {first}-{last}/{size}")) {
                 reply.headers_mut().insert(CONTENT_RANGE, value);
             }
             Ok(reply)
@@ -160,62 +170,65 @@
     }
 }
 
-/// Its session is alive, and at this rung.
-fn heard(fleet: &Fleet, node: &Node, viewer: &str, rung: u8) {
+/// Records a request of a viewer's session: it is in use, at this rung.
+fn record_activity(fleet: &Fleet, node: &Node, viewer: &str, rung: u8) {
     let mut state = node.state();
-    let Some((number, heard)) = state.hls.get_mut(viewer) else { return };
-    *heard = Instant::now();
+    let Some((number, last_request)) = state.hls_sessions.get_mut(viewer) else { return };
+    *last_request = Instant::now();
     let (number, rate) = (*number, fleet.rate(0, rung));
     let Some(stream) = state.streams.get_mut(&(number, 0)) else { return };
     let changed = std::mem::replace(&mut stream.rate, rate) != rate;
     drop(state);
     if changed {
-        node.log.saw(What::Switched { node: node.spec.name.clone(), connection: number, rung });
+        node.recorder.saw(What::Switched { node: node.spec.name.clone(), connection: number, rung });
     }
 }
 
-fn media(viewer: &str) -> String {
+/// Builds the live media playlist of a variant. Segments are numbered by the seconds since the Unix epoch.
+fn media_playlist(viewer: &str) -> String {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
-    let first = now.saturating_sub(WINDOW);
-    let head = format!("#EXTM3U\n#EXT-X-VERSION:3\n#EXT-X-TARGETDURATION:1\n#EXT-X-MEDIA-SEQUENCE:{first}\n");
-    (first..now).fold(head, |text, n| text + &format!("#EXTINF:1.0,\n{n}.ts?viewer={viewer}\n"))
+    let first = now.saturating_sub(PLAYLIST_SEGMENTS);
+    let header =
+        format!("#EXTM3U\n#EXT-X-VERSION:3\n#EXT-X-TARGETDURATION:1\n#EXT-X-MEDIA-SEQUENCE:{first}\n");
+    (first..now).fold(header, |text, n| text + &format!("#EXTINF:1.0,\n{n}.ts?viewer={viewer}\n"))
 }
 
-fn master(fleet: &Fleet, viewer: &str) -> String {
+/// Builds the multivariant playlist, with the variants in the order of the ladder.
+fn multivariant_playlist(fleet: &Fleet, viewer: &str) -> String {
     (0u8..).zip(&fleet.ladder).fold(
         "#EXTM3U\n#EXT-X-INDEPENDENT-SEGMENTS\n".to_string(),
-        |text, (rung, kb)| {
-            let bits = (kb * 8e3) as u64;
+        |text, (rung, kb_per_second)| {
+            let bits = (kb_per_second * 8e3) as u64;
             text + &format!("#EXT-X-STREAM-INF:BANDWIDTH={bits}\nv{rung}/index.m3u8?viewer={viewer}\n")
         },
     )
 }
 
-/// A SETUP whose connection is closed before its answer: its session is over.
-struct Unanswered {
+/// Ends the session if its connection closes, and drops this guard, before the response.
+struct UnansweredGuard {
     node: Arc<Node>,
     viewer: String,
     number: u64,
     answered: bool,
 }
 
-impl Drop for Unanswered {
+impl Drop for UnansweredGuard {
     fn drop(&mut self) {
         if self.answered {
             return;
         }
         let mut state = self.node.state();
-        state.end(self.number);
-        if state.hls.get(&self.viewer).is_some_and(|(number, _)| *number == self.number) {
-            state.hls.remove(&self.viewer);
+        state.end_session(self.number);
+        if state.hls_sessions.get(&self.viewer).is_some_and(|(number, _)| *number == self.number) {
+            state.hls_sessions.remove(&self.viewer);
         }
         drop(state);
-        self.node.log.saw(What::Closed { node: self.node.spec.name.clone(), connection: self.number });
+        self.node.recorder.saw(What::Closed { node: self.node.spec.name.clone(), connection: self.number });
     }
 }
 
-/// The request of the multivariant playlist is a session's: it takes a place.
-async fn setup(
+/// Handles the request for a multivariant playlist. It starts a session, as a SETUP does.
+async fn start_session(
     fleet: &Arc<Fleet>,
     node: &Arc<Node>,
     title: &str,
@@ -223,60 +236,66 @@
     request: &Request<Incoming>,
 ) -> Reply {
     let name = node.spec.name.clone();
-    let rung = element(request, "rung").and_then(|rung| rung.parse::<u8>().ok()).unwrap_or(0);
-    let number = node.connection();
-    let named = viewer.split_once('.').and_then(|(v, k)| Some((v.parse().ok()?, k.parse().ok()?)));
-    if let Some((viewer, again)) = named {
+    let rung = query_parameter(request, "rung").and_then(|rung| rung.parse::<u8>().ok()).unwrap_or(0);
+    let number = node.next_connection();
+    let viewer_and_attempt =
+        viewer.split_once('.').and_then(|(v, k)| Some((v.parse().ok()?, k.parse().ok()?)));
+    if let Some((viewer, again)) = viewer_and_attempt {
         let (title, connection) = (title.to_string(), number);
-        node.log.saw(What::Setup { node: name.clone(), connection, viewer, again, title, rung });
+        node.recorder.saw(What::Setup { node: name.clone(), connection, viewer, again, title, rung });
     }
-    if fleet.pushed_over(node) {
+    if fleet.overloads(node) {
         return Err(Reset);
     }
     let faults = node.state().faults.clone();
-    let chance = node.state().random.rand_float();
-    let answered = |status: StatusCode| {
-        node.log.saw(What::SetupAnswered { node: name.clone(), connection: number, status: status.into() });
+    let draw = node.state().random.rand_float();
+    let record_response = |status: StatusCode| {
+        node.recorder.saw(What::SetupAnswered {
+            node: name.clone(),
+            connection: number,
+            status: status.into(),
+        });
         if status != StatusCode::OK {
-            node.log.saw(What::Closed { node: name.clone(), connection: number });
+            node.recorder.saw(What::Closed { node: name.clone(), connection: number });
         }
     };
-    if chance < faults.resets {
-        node.log.saw(What::Closed { node: name.clone(), connection: number });
+    if draw < faults.resets {
+        node.recorder.saw(What::Closed { node: name.clone(), connection: number });
         return Err(Reset);
     }
-    if chance < faults.resets + faults.errors {
-        answered(StatusCode::INTERNAL_SERVER_ERROR);
+    if draw < faults.resets + faults.errors {
+        record_response(StatusCode::INTERNAL_SERVER_ERROR);
         return reply(fleet, node, StatusCode::INTERNAL_SERVER_ERROR, "text/plain", "a fault\n");
     }
-    if fleet.full(node) {
-        answered(StatusCode::SERVICE_UNAVAILABLE);
+    if fleet.is_full(node) {
+        record_response(StatusCode::SERVICE_UNAVAILABLE);
         return reply(fleet, node, StatusCode::SERVICE_UNAVAILABLE, "text/plain", "full\n");
     }
     let mut at = Instant::now();
     {
         let mut state = node.state();
-        // The same viewer's earlier session here is over.
-        if let Some((old, _)) = state.hls.insert(viewer.to_string(), (number, at)) {
-            state.end(old);
-            node.log.saw(What::Closed { node: name.clone(), connection: old });
+        // An earlier session for the same viewer and attempt ends.
+        if let Some((old_number, _)) = state.hls_sessions.insert(viewer.to_string(), (number, at)) {
+            state.end_session(old_number);
+            node.recorder.saw(What::Closed { node: name.clone(), connection: old_number });
         }
         let (out, _) = mpsc::channel::<Packet>(1);
         let random = state.random.rand_u64();
         let stream = Stream::new(fleet.rate(0, rung), out, 0, CLOCK_RATES[0], random);
         state.streams.insert((number, 0), stream);
         if faults.queue {
-            at = at.max(state.busy_until);
-            state.busy_until = at + faults.delay;
+            at = at.max(state.setup_queue_ends);
+            state.setup_queue_ends = at + faults.delay;
         }
     }
-    let mut guard = Unanswered { node: node.clone(), viewer: viewer.to_string(), number, answered: false };
+    let mut guard =
+        UnansweredGuard { node: node.clone(), viewer: viewer.to_string(), number, answered: false };
     tokio::time::sleep_until(at + faults.delay).await;
     if faults.answer_lost {
-        // All else is answered.
+        // Only this response is dropped; other requests get theirs.
         std::future::pending::<()>().await;
     }
     guard.answered = true;
-    answered(StatusCode::OK);
-    reply(fleet, node, StatusCode::OK, PLAYLIST, master(fleet, viewer))
+    record_response(StatusCode::OK);
+    reply(fleet, node, StatusCode::OK, PLAYLIST_CONTENT_TYPE, multivariant_playlist(fleet, viewer))
 }
--- a/crates/standin/src/hls_player.rs
+++ b/crates/standin/src/hls_player.rs
@@ -1,5 +1,5 @@
-//! A scripted player: it asks for a title, takes the highest variant that it is offered, fetches segment after segment,
-//! and begins anew when it is told to.
+//! A scripted HLS player: it requests a title, takes the highest variant that is offered and fetches its
+//! segments.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,21 +14,22 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout_at};
 
-use crate::log::Log;
-use crate::viewer::{End, Media, Script};
+use crate::recorder::Log;
+use crate::viewer::{AttemptOutcome, Media, Script};
 
-/// Between looks at a live playlist.
-const RELOAD: Duration = Duration::from_millis(500);
-/// Failures in a row that it bears.
-const BEARS: u32 = 6;
+/// Interval at which a live playlist is loaded again.
+const RELOAD_INTERVAL: Duration = Duration::from_millis(500);
+/// Number of consecutive failed requests after which playback fails.
+const MAX_CONSECUTIVE_FAILURES: u32 = 6;
 
-/// One connection to a director.
+/// An HTTP connection to a director.
 pub struct Http {
     sender: SendRequest<Empty<Bytes>>,
     host: SocketAddr,
 }
 
 impl Http {
+    /// Connects; `None` if the server can't be reached.
     pub async fn open(host: SocketAddr) -> Option<Http> {
         let stream = TcpStream::connect(host).await.ok()?;
         let _ = stream.set_nodelay(true);
@@ -37,12 +38,12 @@
         Some(Http { sender, host })
     }
 
-    /// Status, retry-after and body of what is at a path.
+    /// Returns status, Retry-After (in seconds) and body of a GET request; `None` if the connection fails.
     pub async fn get(&mut self, path: &str) -> Option<(StatusCode, Option<u64>, Bytes)> {
         self.get_with(path, None).await
     }
 
-    /// The same of a range of bytes.
+    /// Like [`Http::get`], with a Range header.
     pub async fn get_with(
         &mut self,
         path: &str,
@@ -53,71 +54,72 @@
         let request = range.iter().fold(request, |request, range| request.header("range", *range));
         let request = request.body(Empty::new()).ok()?;
         let response = self.sender.send_request(request).await.ok()?;
-        let after = response.headers().get("retry-after").and_then(|v| v.to_str().ok()?.parse().ok());
+        let retry_after = response.headers().get("retry-after").and_then(|v| v.to_str().ok()?.parse().ok());
         let status = response.status();
-        Some((status, after, response.into_body().collect().await.ok()?.to_bytes()))
+        Some((status, retry_after, response.into_body().collect().await.ok()?.to_bytes()))
     }
 }
 
-/// URIs of a playlist, in its order.
+/// Returns the URIs of a playlist, in its order.
 pub fn uris(playlist: &[u8]) -> Vec<String> {
     let text = String::from_utf8_lossy(playlist);
     text.lines().filter(|line| !line.starts_with('#') && !line.is_empty()).map(str::to_string).collect()
 }
 
-pub(crate) async fn one(
+/// Runs one attempt: requests a session and plays it.
+pub(crate) async fn run_attempt(
     script: &Script,
-    again: u32,
+    attempt: u32,
     director: u16,
     address: SocketAddr,
     watch: Duration,
-    log: &Log,
+    recorder: &Log,
     media: &Media,
-) -> End {
+) -> AttemptOutcome {
     let connect = tokio::time::timeout(script.setup_timeout, Http::open(address));
-    let Ok(Some(mut http)) = connect.await else { return End::Broken };
-    let asked = Instant::now();
-    let path = format!("/{}/index.m3u8?{}", script.title, script.query(again));
+    let Ok(Some(mut http)) = connect.await else { return AttemptOutcome::Failed };
+    let started = Instant::now();
+    let path = format!("/{}/index.m3u8?{}", script.title, script.query(attempt));
     let status = |(status, ..): &(StatusCode, Option<u64>, Bytes)| (*status).into();
-    let answer = script.asks(again, director, log, http.get(&path), status).await;
-    let (status, after, body) = match answer {
-        Ok(answer) => answer,
-        Err(end) => return end,
+    let response = script.request_session(attempt, director, recorder, http.get(&path), status).await;
+    let (status, retry_after, body) = match response {
+        Ok(response) => response,
+        Err(outcome) => return outcome,
     };
     match status {
         StatusCode::OK => {}
-        StatusCode::SERVICE_UNAVAILABLE => return End::Busy(after.map(Duration::from_secs)),
-        _ => return End::Broken,
+        StatusCode::SERVICE_UNAVAILABLE => return AttemptOutcome::Busy(retry_after.map(Duration::from_secs)),
+        _ => return AttemptOutcome::Failed,
     }
     // Variants are in the order of the ladder.
-    let Some(variant) = uris(&body).pop() else { return End::Broken };
-    let until = asked + watch;
-    match timeout_at(until, plays(&mut http, &variant, media)).await {
-        Err(_) => End::Watched,
-        Ok(()) => End::Broken,
+    let Some(variant) = uris(&body).pop() else { return AttemptOutcome::Failed };
+    let until = started + watch;
+    match timeout_at(until, fetch_segments(&mut http, &variant, media)).await {
+        Err(_) => AttemptOutcome::Watched,
+        Ok(()) => AttemptOutcome::Failed,
     }
 }
 
-/// Fetches segments until something breaks for good.
-async fn plays(http: &mut Http, variant: &str, media: &Media) {
+/// Fetches the segments of a variant until playback fails.
+async fn fetch_segments(http: &mut Http, variant: &str, media: &Media) {
     let mut fetched: BTreeSet<String> = BTreeSet::new();
-    let (mut failures, mut last) = (0, Instant::now());
-    while failures < BEARS {
-        let Some((status, after, body)) = http.get(variant).await else { return };
+    let (mut failures, mut last_segment) = (0, Instant::now());
+    while failures < MAX_CONSECUTIVE_FAILURES {
+        let Some((status, retry_after, body)) = http.get(variant).await else { return };
         match status {
             StatusCode::OK => {}
             StatusCode::SERVICE_UNAVAILABLE => {
                 failures += 1;
-                tokio::time::sleep(Duration::from_secs(after.unwrap_or(1))).await;
+                tokio::time::sleep(Duration::from_secs(retry_after.unwrap_or(1))).await;
                 continue;
             }
             _ => return,
         }
         let listed = uris(&body);
-        // It begins near the live edge.
-        let from = if fetched.is_empty() { listed.len().saturating_sub(2) } else { 0 };
-        for uri in &listed[from..] {
-            // The same segment at another rung, or from another node, has the same number.
+        // Playback begins near the live edge.
+        let first = if fetched.is_empty() { listed.len().saturating_sub(2) } else { 0 };
+        for uri in &listed[first..] {
+            // A segment has the same number at every rung and node.
             let number = uri.split('?').next().and_then(|path| path.rsplit('/').next()).unwrap_or(uri);
             if !fetched.insert(number.to_string()) {
                 continue;
@@ -127,10 +129,11 @@
                     failures = 0;
                     media.segments.fetch_add(1, Ordering::Relaxed);
                     media.bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
-                    // A segment holds a second.
-                    let late = last.elapsed().saturating_sub(Duration::from_millis(2500));
-                    media.stalled_ms.fetch_add(late.as_millis() as u64, Ordering::Relaxed);
-                    last = Instant::now();
+                    // A segment holds one second. Waiting longer than 2.5 s for the next one counts as a
+                    // stall.
+                    let stall = last_segment.elapsed().saturating_sub(Duration::from_millis(2500));
+                    media.stalled_ms.fetch_add(stall.as_millis() as u64, Ordering::Relaxed);
+                    last_segment = Instant::now();
                 }
                 Some((StatusCode::GONE | StatusCode::FORBIDDEN, ..)) | None => return,
                 Some(_) => {
@@ -143,6 +146,6 @@
         while fetched.len() > 64 {
             fetched.pop_first();
         }
-        tokio::time::sleep(RELOAD).await;
+        tokio::time::sleep(RELOAD_INTERVAL).await;
     }
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,12 +1,12 @@
-//! Stand-ins for what a director meets: media nodes that share links and uplinks, start cold and fall, and viewers
-//! that ask, watch, come again and leave. Faults are set from outside, by script. Loopback only.
+//! Stand-ins for a director's peers, for tests on loopback: media nodes with shared uplinks, slow start and
+//! overload, and scripted viewers that request, watch, retry and leave. The caller injects faults.
 
 mod connection;
 mod hls;
 pub mod hls_player;
-mod log;
 pub mod node;
+mod recorder;
 pub mod viewer;
 
-pub use log::Log;
 pub use node::{Faults, Fleet, Spec};
+pub use recorder::Log;
--- a/crates/standin/src/node.rs
+++ b/crates/standin/src/node.rs
@@ -1,4 +1,4 @@
-//! Media nodes: links and uplinks, cold starts and falls, and the packets that they send.
+//! Stand-in media nodes: links and uplinks, slow start and overload, and the packets that they send.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,74 +15,86 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-use crate::log::Log;
+use crate::recorder::Log;
 use crate::{connection, hls};
 
-/// What a node is. Rates in kB a second.
+/// Properties of a node.
 #[derive(Clone, Debug)]
 pub struct Spec {
     pub name: String,
+    /// Index of its rack, whose uplink it shares.
     pub rack: usize,
+    /// Maximum number of sessions.
     pub places: usize,
+    /// Rate of its link, in kB/s.
     pub link: f64,
-    /// Turns set-ups away while its link is full.
+    /// Whether it rejects SETUPs while its link is full.
     pub guard: bool,
 }
 
-/// How a cold node rises and falls. Times in seconds.
+/// How the session rate that a node can take rises after its start, and when it fails. Times are in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdPace {
+    /// Fraction of the full session rate at the start of its process.
     pub from: f64,
+    /// Time after which it can take the full session rate.
     pub warm_after: f64,
+    /// Multiple of its current session rate at which it fails.
     pub multiple: f64,
+    /// Sliding window over which the rate of its SETUPs is measured.
     pub span: f64,
 }
 
-/// What is wrong with a node just now.
+/// Faults of a node that are currently injected.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// SETUPs run, their answers are dropped; all else is answered.
+    /// SETUPs are run and their responses dropped; all other requests get responses.
     pub answer_lost: bool,
-    /// Nothing is read on, answered or sent.
+    /// Requests are not handled, and nothing is sent.
     pub hang: bool,
-    /// Part of the SETUPs that fail at once with 500.
+    /// Fraction of the SETUPs that fail at once with status 500.
     pub errors: f64,
-    /// Part of the SETUPs on which the connection is reset.
+    /// Fraction of the SETUPs on which the connection is reset.
     pub resets: f64,
-    /// What a SETUP takes.
+    /// Time that a SETUP takes.
     pub delay: Duration,
-    /// SETUPs are handled one after the other.
+    /// SETUPs are handled one at a time.
     pub queue: bool,
-    /// The link gives so much less, as a divisor.
+    /// Divisor of the link's rate; no effect up to 1.
     pub link_cut: f64,
-    /// Load is told as it was when this began.
+    /// Load is reported as it was when this fault began.
     pub reports_frozen: bool,
-    /// Sessions outlive their connection by so long.
+    /// Time for which a session is kept after its connection has closed.
     pub keeps: Duration,
 }
 
-/// One session at a node.
+/// One track of a session at a node.
 pub(crate) struct Stream {
+    /// In kB/s.
     pub rate: f64,
     pub playing: bool,
     pub out: mpsc::Sender<Packet>,
+    /// Interleaved channel of its RTP packets; RTCP uses the next one.
     pub channel: u8,
     pub ssrc: u32,
     pub seq: u16,
     pub ts: u32,
-    /// kB due and not yet sent, and the part of a packet that the link has let through.
-    due: f64,
-    let_through: f64,
+    /// Payload due and not yet packetized, in kB.
+    due_kb: f64,
+    /// Fraction of a packet that link and uplink have carried beyond the packets sent.
+    carried: f64,
+    /// RTP timestamp ticks per second.
     clock_rate: u32,
-    /// Packets and bytes sent, and seconds since the last sender report.
+    /// Packets and payload bytes sent.
     sent: (u32, u32),
-    unreported: f64,
+    /// Seconds since the last sender report.
+    since_report: f64,
 }
 
 impl Stream {
     pub fn new(rate: f64, out: mpsc::Sender<Packet>, channel: u8, clock_rate: u32, random: u64) -> Stream {
         let (ssrc, seq, ts) = (random as u32, (random >> 32) as u16, (random >> 24) as u32);
-        let (due, let_through, sent, unreported) = (0.0, 0.0, (0, 0), 0.0);
+        let (due_kb, carried, sent, since_report) = (0.0, 0.0, (0, 0), 0.0);
         Stream {
             rate,
             playing: false,
@@ -91,79 +103,87 @@
             ssrc,
             seq,
             ts,
-            due,
-            let_through,
+            due_kb,
+            carried,
             clock_rate,
             sent,
-            unreported,
+            since_report,
         }
     }
 }
 
+/// The state of a node's process, and what outlasts it.
 pub(crate) struct State {
-    pub up: bool,
-    pub fallen: bool,
+    pub running: bool,
+    /// Whether it failed under overload; it then stays down.
+    pub overloaded: bool,
     started: Instant,
-    setups: Vec<Instant>,
+    /// Times of the SETUPs within the overload window.
+    recent_setups: Vec<Instant>,
     pub faults: Faults,
-    /// By session and track.
+    /// By session number and track.
     pub streams: BTreeMap<(u64, u8), Stream>,
-    /// Sessions whose connection is gone, and since when.
+    /// Sessions whose connection has closed, and when.
     pub orphans: BTreeMap<u64, Instant>,
-    pub orphaned: Duration,
+    /// Total time of orphaned sessions that have ended.
+    pub orphaned_time: Duration,
     /// When the last SETUP in the queue will have been handled.
-    pub busy_until: Instant,
-    /// HLS sessions, by viewer and try: their number, and when they were last heard of.
-    pub hls: BTreeMap<String, (u64, Instant)>,
-    frozen: Load,
-    next_connection: u64,
+    pub setup_queue_ends: Instant,
+    /// HLS sessions, by the viewer and attempt of their URLs: their number, and the time of their last
+    /// request.
+    pub hls_sessions: BTreeMap<String, (u64, Instant)>,
+    frozen_load: Load,
+    last_connection: u64,
     pub random: oorandom::Rand64,
 }
 
+/// A stand-in media node.
 pub struct Node {
     pub spec: Spec,
+    /// Address of its RTSP server.
     pub address: SocketAddr,
-    /// Where it serves HLS.
+    /// Address of its HLS server.
     pub http: SocketAddr,
-    pub(crate) log: Log,
+    pub(crate) recorder: Log,
     state: Mutex<State>,
-    /// Counts changes that connections must hear of: faults, and the process's end.
+    /// Counts the changes that wake connections: of faults, and the end of the process.
     pub(crate) changes: watch::Sender<u64>,
 }
 
 impl Node {
     pub(crate) fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(|broken| broken.into_inner())
+        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    pub(crate) fn connection(&self) -> u64 {
+    /// Returns a new number for a connection or session.
+    pub(crate) fn next_connection(&self) -> u64 {
         let mut state = self.state();
-        state.next_connection += 1;
-        state.next_connection
+        state.last_connection += 1;
+        state.last_connection
     }
 
-    /// Sessions that it holds.
+    /// Returns the number of sessions that it holds.
     pub fn held(&self) -> usize {
-        self.state().sessions()
+        self.state().session_count()
     }
 
-    /// How long sessions were held that nobody had, summed up.
+    /// Returns the total time for which sessions were kept after their connection had closed.
     pub fn orphaned(&self) -> Duration {
         let state = self.state();
-        state.orphaned + state.orphans.values().map(Instant::elapsed).sum::<Duration>()
+        state.orphaned_time + state.orphans.values().map(Instant::elapsed).sum::<Duration>()
     }
 }
 
 impl State {
-    fn sessions(&self) -> usize {
+    fn session_count(&self) -> usize {
         let mut last = None;
         self.streams.keys().filter(|(session, _)| last.replace(*session) != Some(*session)).count()
     }
 
-    /// Ends a session, whoever held it; false if there is none.
-    pub fn end(&mut self, session: u64) -> bool {
+    /// Ends a session, with or without a connection. Returns whether it existed.
+    pub fn end_session(&mut self, session: u64) -> bool {
         if let Some(since) = self.orphans.remove(&session) {
-            self.orphaned += since.elapsed();
+            self.orphaned_time += since.elapsed();
         }
         let before = self.streams.len();
         self.streams.retain(|(other, _), _| *other != session);
@@ -171,215 +191,229 @@
     }
 }
 
-/// All nodes, with the uplinks that they share.
+/// All nodes, with the uplinks of their racks.
 pub struct Fleet {
     pub nodes: Vec<Arc<Node>>,
-    /// kB a second of each rack's uplink, and its divisor just now.
+    /// Rate of each rack's uplink, in kB/s.
     uplinks: Vec<f64>,
-    cuts: Mutex<Vec<f64>>,
+    /// Current divisor of each uplink's rate.
+    uplink_divisors: Mutex<Vec<f64>>,
+    /// Rate of each rung, in kB/s.
     pub ladder: Vec<f64>,
     pub cold: ColdPace,
-    log: Log,
+    recorder: Log,
 }
 
-/// Bytes of RTP payload in a packet.
-const PAYLOAD: usize = 188 * 2;
-/// Between rounds of sending.
-const PUMP: Duration = Duration::from_millis(20);
-/// RTP ticks a second of video and audio, and kB a second of the latter.
+/// RTP payload of a packet: two MPEG transport stream packets.
+const PAYLOAD_BYTES: usize = 188 * 2;
+/// Interval at which due packets are sent.
+const SEND_INTERVAL: Duration = Duration::from_millis(20);
+/// RTP timestamp ticks per second, of video and audio.
 pub(crate) const CLOCK_RATES: [u32; 2] = [90_000, 48_000];
-const AUDIO: f64 = 1.0;
+/// Rate of an audio track.
+const AUDIO_KB_PER_SECOND: f64 = 1.0;
 
 impl Fleet {
-    /// Opens a listener on loopback for each node, at a port of the system's choice.
+    /// Starts all nodes, each with listeners for RTSP and HLS on loopback, at ports chosen by the system.
+    /// `uplinks` and `ladder` are in kB/s.
     pub async fn start(
         specs: Vec<Spec>,
         uplinks: Vec<f64>,
         ladder: Vec<f64>,
         cold: ColdPace,
         seed: u64,
-        log: Log,
+        recorder: Log,
     ) -> std::io::Result<Arc<Fleet>> {
         let mut nodes = Vec::new();
         let mut listeners = Vec::new();
-        // Long ago: a node that the day begins with is warm.
+        // A node that runs from the beginning is warm.
         let started = Instant::now().checked_sub(Duration::from_secs(3600)).unwrap_or_else(Instant::now);
         for (i, spec) in specs.into_iter().enumerate() {
-            let listener = listen(([127, 0, 0, 1], 0).into())?;
+            let rtsp_listener = listen(([127, 0, 0, 1], 0).into())?;
             let state = State {
-                up: true,
-                fallen: false,
+                running: true,
+                overloaded: false,
                 started,
-                setups: Vec::new(),
+                recent_setups: Vec::new(),
                 faults: Faults::default(),
                 streams: BTreeMap::new(),
                 orphans: BTreeMap::new(),
-                orphaned: Duration::ZERO,
-                busy_until: started,
-                hls: BTreeMap::new(),
-                frozen: Load::default(),
-                next_connection: 0,
+                orphaned_time: Duration::ZERO,
+                setup_queue_ends: started,
+                hls_sessions: BTreeMap::new(),
+                frozen_load: Load::default(),
+                last_connection: 0,
                 random: oorandom::Rand64::new(u128::from(seed) << 32 | i as u128),
             };
-            let address = listener.local_addr()?;
+            let address = rtsp_listener.local_addr()?;
             let changes = watch::channel(0).0;
-            let second = listen(([127, 0, 0, 1], 0).into())?;
-            let http = second.local_addr()?;
-            let listener = (listener, second);
+            let hls_listener = listen(([127, 0, 0, 1], 0).into())?;
+            let http = hls_listener.local_addr()?;
+            let node_listeners = (rtsp_listener, hls_listener);
             nodes.push(Arc::new(Node {
                 spec,
                 address,
                 http,
-                log: log.clone(),
+                recorder: recorder.clone(),
                 state: Mutex::new(state),
                 changes,
             }));
-            listeners.push(listener);
+            listeners.push(node_listeners);
         }
-        let cuts = Mutex::new(vec![1.0; uplinks.len()]);
-        let fleet = Arc::new(Fleet { nodes, uplinks, cuts, ladder, cold, log });
-        for (node, (listener, second)) in fleet.nodes.iter().zip(listeners) {
-            tokio::spawn(accept(fleet.clone(), node.clone(), listener));
-            tokio::spawn(hls::accept(fleet.clone(), node.clone(), second));
+        let uplink_divisors = Mutex::new(vec![1.0; uplinks.len()]);
+        let fleet = Arc::new(Fleet { nodes, uplinks, uplink_divisors, ladder, cold, recorder });
+        for (node, (rtsp_listener, hls_listener)) in fleet.nodes.iter().zip(listeners) {
+            tokio::spawn(accept(fleet.clone(), node.clone(), rtsp_listener));
+            tokio::spawn(hls::accept(fleet.clone(), node.clone(), hls_listener));
         }
-        tokio::spawn(pump(fleet.clone()));
+        tokio::spawn(send_media(fleet.clone()));
         Ok(fleet)
     }
 
+    /// Changes the faults of a node, and wakes its connections.
     pub fn set(&self, node: usize, change: impl FnOnce(&mut Faults)) {
         let Some(node) = self.nodes.get(node) else { return };
         let load = self.load(node);
         let mut state = node.state();
         if !state.faults.reports_frozen {
-            state.frozen = load;
+            state.frozen_load = load;
         }
         change(&mut state.faults);
         drop(state);
-        node.changes.send_modify(|n| *n += 1);
+        node.changes.send_modify(|count| *count += 1);
     }
 
-    /// The uplink of a rack carries so many times less.
+    /// Divides the rate of a rack's uplink; a divisor below 1 counts as 1.
     pub fn cut_uplink(&self, rack: usize, divisor: f64) {
-        let mut cuts = self.cuts.lock().unwrap_or_else(|broken| broken.into_inner());
-        if let Some(cut) = cuts.get_mut(rack) {
-            *cut = divisor.max(1.0);
+        let mut divisors = self.uplink_divisors.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        if let Some(current) = divisors.get_mut(rack) {
+            *current = divisor.max(1.0);
         }
     }
 
-    /// The process ends: all connections are reset, and none is accepted.
+    /// Ends a node's process: all its connections are reset, and none is accepted.
     pub fn stop(&self, node: usize) {
         if let Some(node) = self.nodes.get(node) {
-            end(node);
+            end_process(node);
         }
     }
 
-    /// The process starts again, cold, at the same address; one that was pushed over stays down.
+    /// Starts a node's process again, cold, at the same addresses. A node that failed under overload stays
+    /// down.
     pub fn restart(self: &Arc<Fleet>, node: usize) -> std::io::Result<()> {
         let Some(node) = self.nodes.get(node).cloned() else { return Ok(()) };
-        if node.state().fallen {
+        if node.state().overloaded {
             return Ok(());
         }
-        let (listener, second) = (listen(node.address)?, listen(node.http)?);
+        let (rtsp_listener, hls_listener) = (listen(node.address)?, listen(node.http)?);
         {
             let mut state = node.state();
-            (state.up, state.started) = (true, Instant::now());
-            state.setups.clear();
+            (state.running, state.started) = (true, Instant::now());
+            state.recent_setups.clear();
             state.faults = Faults::default();
         }
-        self.log.saw(What::NodeStarted { node: node.spec.name.clone() });
-        tokio::spawn(accept(self.clone(), node.clone(), listener));
-        tokio::spawn(hls::accept(self.clone(), node, second));
+        self.recorder.saw(What::NodeStarted { node: node.spec.name.clone() });
+        tokio::spawn(accept(self.clone(), node.clone(), rtsp_listener));
+        tokio::spawn(hls::accept(self.clone(), node, hls_listener));
         Ok(())
     }
 
-    /// Counts a SETUP against the pace of a node that has just started; true if that pushes it over.
-    pub(crate) fn pushed_over(&self, node: &Node) -> bool {
+    /// Counts a SETUP against the session rate that a cold node can take. Ends its process and returns true
+    /// if that is exceeded.
+    pub(crate) fn overloads(&self, node: &Node) -> bool {
         let mut state = node.state();
         let now = Instant::now();
-        let (span, age) = (Duration::from_secs_f64(self.cold.span), now - state.started);
-        state.setups.retain(|&at| now - at <= span);
-        state.setups.push(now);
-        let part = age.as_secs_f64() / self.cold.warm_after;
-        if part >= 1.0 {
+        let (window, age) = (Duration::from_secs_f64(self.cold.span), now - state.started);
+        state.recent_setups.retain(|&at| now - at <= window);
+        state.recent_setups.push(now);
+        let progress = age.as_secs_f64() / self.cold.warm_after;
+        if progress >= 1.0 {
             return false;
         }
-        let pace = node.spec.places as f64 / self.cold.warm_after;
-        let present = pace * (self.cold.from + (1.0 - self.cold.from) * part);
-        let over = state.setups.len() as f64 > self.cold.multiple * present * self.cold.span + 1.0;
-        state.fallen |= over;
+        let full_rate = node.spec.places as f64 / self.cold.warm_after;
+        let current_rate = full_rate * (self.cold.from + (1.0 - self.cold.from) * progress);
+        let overloaded =
+            state.recent_setups.len() as f64 > self.cold.multiple * current_rate * self.cold.span + 1.0;
+        state.overloaded |= overloaded;
         drop(state);
-        if over {
-            self.log.saw(What::NodeFell { node: node.spec.name.clone() });
-            end(node);
+        if overloaded {
+            self.recorder.saw(What::NodeFell { node: node.spec.name.clone() });
+            end_process(node);
         }
-        over
+        overloaded
     }
 
-    fn link(&self, node: &Node) -> f64 {
-        let cut = node.state().faults.link_cut;
-        node.spec.link / if cut > 1.0 { cut } else { 1.0 }
+    /// Returns the current rate of a node's link, in kB/s.
+    fn link_rate(&self, node: &Node) -> f64 {
+        let divisor = node.state().faults.link_cut;
+        node.spec.link / if divisor > 1.0 { divisor } else { 1.0 }
     }
 
-    fn asked(&self, node: &Node) -> f64 {
+    /// Returns the total rate of a node's sessions, in kB/s.
+    fn demand(&self, node: &Node) -> f64 {
         node.state().streams.values().map(|stream| stream.rate).sum()
     }
 
-    fn uplink_level(&self, rack: usize) -> f64 {
-        let cut = self.cuts.lock().unwrap_or_else(|broken| broken.into_inner()).get(rack).copied();
-        let uplink = self.uplinks.get(rack).copied().unwrap_or(f64::INFINITY) / cut.unwrap_or(1.0);
-        let inside = self.nodes.iter().filter(|n| n.spec.rack == rack);
-        // What a link can't carry doesn't reach the uplink.
-        inside.map(|n| self.asked(n).min(self.link(n))).sum::<f64>() / uplink
+    /// Returns the demand on a rack's uplink as a fraction of its current rate.
+    fn uplink_demand(&self, rack: usize) -> f64 {
+        let divisor =
+            self.uplink_divisors.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).get(rack).copied();
+        let uplink_rate = self.uplinks.get(rack).copied().unwrap_or(f64::INFINITY) / divisor.unwrap_or(1.0);
+        let rack_nodes = self.nodes.iter().filter(|n| n.spec.rack == rack);
+        // Traffic that a link can't carry doesn't reach the uplink.
+        rack_nodes.map(|n| self.demand(n).min(self.link_rate(n))).sum::<f64>() / uplink_rate
     }
 
-    /// What the node tells of its load.
+    /// Returns the load that a node reports.
     pub(crate) fn load(&self, node: &Node) -> Load {
         let state = node.state();
         if state.faults.reports_frozen {
-            return state.frozen;
+            return state.frozen_load;
         }
-        let streams = state.sessions() as f64;
+        let streams = state.session_count() as f64;
         drop(state);
         Load {
-            link: Some(self.asked(node) / self.link(node)),
-            uplink: Some(self.uplink_level(node.spec.rack)),
+            link: Some(self.demand(node) / self.link_rate(node)),
+            uplink: Some(self.uplink_demand(node.spec.rack)),
             streams: Some(streams),
         }
     }
 
-    /// The share of what is due that its sessions get.
-    pub(crate) fn share(&self, node: &Node) -> f64 {
-        let link = self.asked(node) / self.link(node);
-        1.0 / link.max(self.uplink_level(node.spec.rack)).max(1.0)
+    /// Returns the fraction of their rate that a node's sessions get, from 0 to 1.
+    pub(crate) fn delivered_fraction(&self, node: &Node) -> f64 {
+        let link_demand = self.demand(node) / self.link_rate(node);
+        1.0 / link_demand.max(self.uplink_demand(node.spec.rack)).max(1.0)
     }
 
-    /// Turns a set-up away?
-    pub(crate) fn full(&self, node: &Node) -> bool {
-        let held = node.state().sessions();
-        held >= node.spec.places || (node.spec.guard && self.asked(node) >= self.link(node))
+    /// Returns whether a node rejects SETUPs.
+    pub(crate) fn is_full(&self, node: &Node) -> bool {
+        let sessions = node.state().session_count();
+        sessions >= node.spec.places || (node.spec.guard && self.demand(node) >= self.link_rate(node))
     }
 
-    /// kB a second of a track at a rung.
+    /// Returns the rate of a track at a rung, in kB/s. Track 0 is video, all others are audio.
     pub(crate) fn rate(&self, track: u8, rung: u8) -> f64 {
         if track > 0 {
-            return AUDIO;
+            return AUDIO_KB_PER_SECOND;
         }
         let rung = usize::from(rung).min(self.ladder.len().saturating_sub(1));
         self.ladder.get(rung).copied().unwrap_or(0.0)
     }
 }
 
-fn end(node: &Node) {
+/// Ends a node's process, with all its sessions.
+fn end_process(node: &Node) {
     let mut state = node.state();
-    state.up = false;
+    state.running = false;
     state.streams.clear();
     state.orphans.clear();
-    let hls: Vec<u64> = std::mem::take(&mut state.hls).into_values().map(|(number, _)| number).collect();
+    let hls_sessions: Vec<u64> =
+        std::mem::take(&mut state.hls_sessions).into_values().map(|(number, _)| number).collect();
     drop(state);
-    for connection in hls {
-        node.log.saw(What::Closed { node: node.spec.name.clone(), connection });
+    for connection in hls_sessions {
+        node.recorder.saw(What::Closed { node: node.spec.name.clone(), connection });
     }
-    node.changes.send_modify(|n| *n += 1);
+    node.changes.send_modify(|count| *count += 1);
 }
 
 fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
@@ -392,7 +426,7 @@
 async fn accept(fleet: Arc<Fleet>, node: Arc<Node>, listener: TcpListener) {
     let mut changes = node.changes.subscribe();
     loop {
-        if !node.state().up {
+        if !node.state().running {
             return;
         }
         tokio::select! {
@@ -404,70 +438,77 @@
     }
 }
 
-/// Sends what is due: each session at its rate, cut by the share that link and uplink give. What is cut has been
-/// numbered, so the gap shows in the sequence.
-async fn pump(fleet: Arc<Fleet>) {
-    let mut tick = tokio::time::interval(PUMP);
+/// Sends the packets that are due. Each stream is sent at its rate, reduced to the fraction that link and
+/// uplink carry. Packets that are left out take a sequence number, so that the receiver sees the gap.
+async fn send_media(fleet: Arc<Fleet>) {
+    let mut tick = tokio::time::interval(SEND_INTERVAL);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut last = Instant::now();
     loop {
         tick.tick().await;
-        let passed = last.elapsed().as_secs_f64();
+        let elapsed = last.elapsed().as_secs_f64();
         last = Instant::now();
-        let uplinks: Vec<f64> = (0..fleet.uplinks.len()).map(|rack| fleet.uplink_level(rack)).collect();
+        let uplink_demands: Vec<f64> =
+            (0..fleet.uplinks.len()).map(|rack| fleet.uplink_demand(rack)).collect();
         for node in &fleet.nodes {
-            let link = fleet.asked(node) / fleet.link(node);
-            let uplink = uplinks.get(node.spec.rack).copied().unwrap_or(0.0);
-            let share = 1.0 / link.max(uplink).max(1.0);
+            let link_demand = fleet.demand(node) / fleet.link_rate(node);
+            let uplink_demand = uplink_demands.get(node.spec.rack).copied().unwrap_or(0.0);
+            let fraction = 1.0 / link_demand.max(uplink_demand).max(1.0);
             let mut state = node.state();
-            let keeps = state.faults.keeps;
-            let forgotten: Vec<u64> =
-                state.orphans.iter().filter(|(_, since)| since.elapsed() >= keeps).map(|(&n, _)| n).collect();
-            for session in forgotten {
-                state.end(session);
+            let retention = state.faults.keeps;
+            let expired: Vec<u64> = state
+                .orphans
+                .iter()
+                .filter(|(_, since)| since.elapsed() >= retention)
+                .map(|(&n, _)| n)
+                .collect();
+            for session in expired {
+                state.end_session(session);
             }
             if state.faults.hang {
                 continue;
             }
             for stream in state.streams.values_mut().filter(|stream| stream.playing) {
-                stream.send(passed, share);
+                stream.send(elapsed, fraction);
             }
         }
     }
 }
 
 impl Stream {
-    /// Ticks from packet to packet.
-    fn step(&self) -> u32 {
-        (PAYLOAD as f64 / 1e3 / self.rate * f64::from(self.clock_rate)) as u32
+    /// Returns the RTP timestamp ticks from one packet to the next.
+    fn timestamp_step(&self) -> u32 {
+        (PAYLOAD_BYTES as f64 / 1e3 / self.rate * f64::from(self.clock_rate)) as u32
     }
 
-    /// The next packet.
-    pub(crate) fn begins(&self, track: u8) -> Begins {
-        let (seq, rtptime) = (self.seq.wrapping_add(1), self.ts.wrapping_add(self.step()));
+    /// Returns the sequence number and RTP timestamp of a track's next packet.
+    pub(crate) fn next_packet(&self, track: u8) -> Begins {
+        let (seq, rtptime) = (self.seq.wrapping_add(1), self.ts.wrapping_add(self.timestamp_step()));
         Begins { track, seq: Some(seq), rtptime: Some(rtptime) }
     }
 
-    fn send(&mut self, passed: f64, share: f64) {
-        let size = PAYLOAD as f64 / 1e3;
-        self.due += self.rate * passed;
-        let ticks = self.step();
-        while self.due >= size {
-            self.due -= size;
+    /// Sends the packets due after `elapsed` seconds, reduced to a fraction of the rate, and a sender report
+    /// once a second.
+    fn send(&mut self, elapsed: f64, fraction: f64) {
+        let packet_kb = PAYLOAD_BYTES as f64 / 1e3;
+        self.due_kb += self.rate * elapsed;
+        let ticks = self.timestamp_step();
+        while self.due_kb >= packet_kb {
+            self.due_kb -= packet_kb;
             self.seq = self.seq.wrapping_add(1);
             self.ts = self.ts.wrapping_add(ticks);
-            self.let_through += share;
-            if self.let_through >= 1.0 {
-                self.let_through -= 1.0;
-                let payload = packet(self.seq, self.ts, self.ssrc);
-                // A connection that is not read from drops packets: they have been numbered.
+            self.carried += fraction;
+            if self.carried >= 1.0 {
+                self.carried -= 1.0;
+                let payload = rtp_packet(self.seq, self.ts, self.ssrc);
+                // Packets are dropped while the connection's queue is full. They keep their sequence numbers.
                 let _ = self.out.try_send(Packet::Frame { channel: self.channel, payload });
-                self.sent = (self.sent.0.wrapping_add(1), self.sent.1.wrapping_add(PAYLOAD as u32));
+                self.sent = (self.sent.0.wrapping_add(1), self.sent.1.wrapping_add(PAYLOAD_BYTES as u32));
             }
         }
-        self.unreported += passed;
-        if self.unreported >= 1.0 {
-            self.unreported = 0.0;
+        self.since_report += elapsed;
+        if self.since_report >= 1.0 {
+            self.since_report = 0.0;
             let report = SenderReport::builder(self.ssrc)
                 .rtp_timestamp(self.ts)
                 .packet_count(self.sent.0)
@@ -480,8 +521,9 @@
     }
 }
 
-fn packet(seq: u16, ts: u32, ssrc: u32) -> BytesMut {
-    let body = [0x47u8; PAYLOAD];
+/// Builds an RTP packet with a payload of constant bytes.
+fn rtp_packet(seq: u16, ts: u32, ssrc: u32) -> BytesMut {
+    let body = [0x47u8; PAYLOAD_BYTES];
     let builder = rtp_types::RtpPacketBuilder::<&[u8], &[u8]>::new()
         .payload_type(96)
         .sequence_number(seq)
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/recorder.rs
@@ -1,4 +1,4 @@
-//! What was seen, written down as it is seen.
+//! Recorder of traffic events, which are written to a file as they happen.
 
 use std::io::Write;
 use std::path::Path;
@@ -7,7 +7,8 @@
 
 use ashglade_judge::{Plan, Sight, What};
 
-/// Shared by all that see anything; the record is in the order in which it was seen.
+/// The recorder of a run, shared by all nodes and viewers. Events are kept in the order in which they are
+/// recorded.
 #[derive(Clone)]
 pub struct Log(Arc<Mutex<Inner>>);
 
@@ -19,6 +20,7 @@
 }
 
 impl Log {
+    /// Creates the file and writes the configuration of the run as its first line.
     pub fn create(path: &Path, plan: &Plan) -> std::io::Result<Log> {
         let mut file = std::io::BufWriter::new(std::fs::File::create(path)?);
         serde_json::to_writer(&mut file, plan)?;
@@ -29,19 +31,20 @@
         Ok(Log(Arc::new(Mutex::new(Inner { file, started, epoch_ms, sights: Vec::new() }))))
     }
 
+    /// Returns the time in milliseconds since the Unix epoch. It is monotonic from the creation on.
     pub fn now(&self) -> f64 {
-        let inner = self.0.lock().unwrap_or_else(|broken| broken.into_inner());
+        let inner = self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         inner.epoch_ms + inner.started.elapsed().as_secs_f64() * 1e3
     }
 
-    /// Notes that this was seen now.
+    /// Records an event that happens now.
     pub fn saw(&self, what: What) {
         self.saw_before(std::time::Duration::ZERO, what);
     }
 
-    /// Notes that this was so that long ago, though it is only known now.
+    /// Records an event that happened `ago` before now, but is only known now.
     pub fn saw_before(&self, ago: std::time::Duration, what: What) {
-        let mut inner = self.0.lock().unwrap_or_else(|broken| broken.into_inner());
+        let mut inner = self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         let at = inner.epoch_ms + (inner.started.elapsed().as_secs_f64() - ago.as_secs_f64()) * 1e3;
         let sight = Sight { at, what };
         if serde_json::to_writer(&mut inner.file, &sight).is_ok() {
@@ -50,9 +53,9 @@
         inner.sights.push(sight);
     }
 
-    /// All that was seen so far.
+    /// Flushes the file and returns all events recorded so far.
     pub fn sights(&self) -> Vec<Sight> {
-        let mut inner = self.0.lock().unwrap_or_else(|broken| broken.into_inner());
+        let mut inner = self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         let _ = inner.file.flush();
         inner.sights.clone()
     }
--- a/crates/standin/src/viewer.rs
+++ b/crates/standin/src/viewer.rs
@@ -1,4 +1,4 @@
-//! Scripted viewers: they ask, watch, come again after a busy reply or a break, and leave.
+//! Scripted viewers: they request a session, watch it, retry after a busy reply or a failure, and leave.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,63 +14,73 @@
 use tokio_util::codec::Framed;
 
 use crate::hls_player;
-use crate::log::Log;
+use crate::recorder::Log;
 
-/// What one viewer does.
+/// What a viewer does.
 #[derive(Clone, Debug)]
 pub struct Script {
     pub id: u64,
-    /// Directors it may ask, by number; it begins with the first and goes round.
+    /// Directors, each with its index. The viewer begins with the first and takes the next one after a
+    /// failure.
     pub directors: Vec<(u16, SocketAddr)>,
-    /// It speaks HTTP, with these in place of those.
+    /// The HLS addresses of the directors, used in place of `directors` if the viewer speaks HLS.
     pub hls: Option<Vec<(u16, SocketAddr)>>,
     pub group: String,
     pub title: String,
-    /// Tracks that it sets up.
+    /// Number of tracks that it sets up.
     pub tracks: u8,
-    /// Highest rung that it can use.
+    /// Highest rung that it can play.
     pub top: u8,
     pub setup_timeout: Duration,
+    /// Time for which it watches, over all attempts.
     pub watch: Duration,
-    /// It leaves so long after its request if it has no answer by then.
+    /// Time after which it leaves if its request has no response; `None` to wait for the setup timeout.
     pub leaves_after: Option<Duration>,
-    /// How often it comes again, and after how long where it isn't told.
+    /// Maximum number of attempts after the first.
     pub returns: u32,
+    /// Delay before the next attempt after a failure, or a busy reply without Retry-After.
     pub rejoin: Duration,
 }
 
-/// What viewers saw of the media, summed up.
+/// Counters of the media that viewers received.
 #[derive(Debug, Default)]
 pub struct Media {
+    /// RTP packets.
     pub packets: AtomicU64,
+    /// Bytes of RTP packets and HLS segments.
     pub bytes: AtomicU64,
-    /// Packets of another SSRC than the session's, and steps back in the sequence: there must be none.
+    /// Changes of a track's SSRC. A director must cause none.
     pub foreign: AtomicU64,
+    /// RTP packets with a lower sequence number than the one before. A director must cause none.
     pub backward: AtomicU64,
+    /// Attempts that failed.
     pub breaks: AtomicU64,
-    /// Segments of HLS that arrived, and seconds for which players had none.
+    /// HLS segments.
     pub segments: AtomicU64,
+    /// Milliseconds for which HLS players stalled.
     pub stalled_ms: AtomicU64,
 }
 
 impl Script {
-    /// What goes along in the URL of a try.
-    pub(crate) fn query(&self, again: u32) -> String {
+    /// Returns the query of the URL of an attempt.
+    pub(crate) fn query(&self, attempt: u32) -> String {
         let viewer = self.id;
-        format!("group={}&top={}&viewer={viewer}.{again}&client=v{viewer}", self.group, self.top)
+        format!("group={}&top={}&viewer={viewer}.{attempt}&client=v{viewer}", self.group, self.top)
     }
 
-    /// Asks for a session, by whatever protocol, and notes what is seen of it; the answer, or how the try ended without.
-    pub(crate) async fn asks<T>(
+    /// Requests a session with any protocol, and records the request and its result. `response` sends the
+    /// request and yields `None` if the connection closes before the response. Returns the response, or the
+    /// outcome of an attempt without one.
+    pub(crate) async fn request_session<T>(
         &self,
         again: u32,
         director: u16,
-        log: &Log,
-        answer: impl Future<Output = Option<T>>,
+        recorder: &Log,
+        response: impl Future<Output = Option<T>>,
         status: impl Fn(&T) -> u16,
-    ) -> Result<T, End> {
-        let (viewer, asked) = (self.id, Instant::now());
-        log.saw(What::Asked {
+    ) -> Result<T, AttemptOutcome> {
+        let (viewer, started) = (self.id, Instant::now());
+        recorder.saw(What::Asked {
             viewer,
             again,
             director,
@@ -78,62 +88,74 @@
             title: self.title.clone(),
             setup_timeout: self.setup_timeout.as_secs_f64() * 1e3,
         });
-        let patience = self.leaves_after.unwrap_or(self.setup_timeout).min(self.setup_timeout);
-        match timeout_at(asked + patience, answer).await {
-            Ok(Some(answer)) => {
-                log.saw(What::Answered { viewer, again, status: status(&answer) });
-                Ok(answer)
+        let timeout = self.leaves_after.unwrap_or(self.setup_timeout).min(self.setup_timeout);
+        match timeout_at(started + timeout, response).await {
+            Ok(Some(response)) => {
+                recorder.saw(What::Answered { viewer, again, status: status(&response) });
+                Ok(response)
             }
             Ok(None) => {
-                log.saw(What::Cut { viewer, again });
-                Err(End::Broken)
+                recorder.saw(What::Cut { viewer, again });
+                Err(AttemptOutcome::Failed)
             }
             Err(_) => {
-                log.saw(What::GaveUp { viewer, again, patient: patience >= self.setup_timeout });
-                Err(if patience < self.setup_timeout { End::Left } else { End::Broken })
+                recorder.saw(What::GaveUp { viewer, again, patient: timeout >= self.setup_timeout });
+                Err(if timeout < self.setup_timeout { AttemptOutcome::Left } else { AttemptOutcome::Failed })
             }
         }
     }
 }
 
-/// How a try ended.
-pub(crate) enum End {
+/// The outcome of an attempt.
+pub(crate) enum AttemptOutcome {
+    /// The viewer watched for as long as it wanted.
     Watched,
+    /// A busy reply, with its Retry-After.
     Busy(Option<Duration>),
-    Broken,
+    /// The request or the session failed.
+    Failed,
+    /// The viewer left before it got a response.
     Left,
 }
 
-pub async fn run(script: Script, log: Log, media: Arc<Media>) {
-    let mut left = script.watch;
-    let mut turned_to = 0;
-    for again in 0..=script.returns {
+/// Runs a viewer to its end.
+pub async fn run(script: Script, recorder: Log, media: Arc<Media>) {
+    let mut remaining = script.watch;
+    let mut failures = 0;
+    for attempt in 0..=script.returns {
         let directors = script.hls.as_ref().unwrap_or(&script.directors);
-        let Some(&(director, address)) = directors.get(turned_to % directors.len().max(1)) else {
+        let Some(&(director, address)) = directors.get(failures % directors.len().max(1)) else {
             return;
         };
-        let began = Instant::now();
-        let end = match script.hls {
-            Some(_) => hls_player::one(&script, again, director, address, left, &log, &media).await,
-            None => one(&script, again, director, address, left, &log, &media).await,
+        let started = Instant::now();
+        let outcome = match script.hls {
+            Some(_) => {
+                hls_player::run_attempt(&script, attempt, director, address, remaining, &recorder, &media)
+                    .await
+            }
+            None => run_attempt(&script, attempt, director, address, remaining, &recorder, &media).await,
         };
-        left = left.saturating_sub(began.elapsed());
-        match end {
-            End::Watched | End::Left => return,
-            End::Busy(after) => tokio::time::sleep(after.unwrap_or(script.rejoin)).await,
-            End::Broken => {
-                // Whoever was told when to come back comes to the director that told it.
-                turned_to += 1;
+        remaining = remaining.saturating_sub(started.elapsed());
+        match outcome {
+            AttemptOutcome::Watched | AttemptOutcome::Left => return,
+            AttemptOutcome::Busy(retry_after) => {
+                tokio::time::sleep(retry_after.unwrap_or(script.rejoin)).await
+            }
+            AttemptOutcome::Failed => {
+                // Only a failure makes it try another director; after a busy reply it returns to the same
+                // one.
+                failures += 1;
                 media.breaks.fetch_add(1, Ordering::Relaxed);
                 tokio::time::sleep(script.rejoin).await;
             }
         }
-        if left < Duration::from_millis(200) {
+        if remaining < Duration::from_millis(200) {
             return;
         }
     }
 }
 
+/// An RTSP connection to a director.
 struct Connection {
     framed: Framed<TcpStream, Codec>,
     cseq: u32,
@@ -142,7 +164,7 @@
 }
 
 impl Connection {
-    /// Sends a request: SETUP of a track, anything else for the whole presentation.
+    /// Sends a request: for a track if one is given, as in SETUP, or else for the presentation.
     async fn send(&mut self, method: Method, track: Option<u8>) -> Result<(), ashglade_rtsp::Fault> {
         self.cseq += 1;
         let mut url = self.url.clone();
@@ -160,8 +182,8 @@
         self.framed.send(Packet::Request(request)).await
     }
 
-    /// The answer to the last request; frames are passed over.
-    async fn answer(&mut self) -> Option<Response> {
+    /// Returns the response to the last request. Interleaved frames before it are dropped.
+    async fn response(&mut self) -> Option<Response> {
         loop {
             if let Packet::Response(response) = self.framed.next().await?.ok()? {
                 return Some(response);
@@ -170,57 +192,58 @@
     }
 }
 
-async fn one(
+/// Runs one attempt over RTSP: requests a session and plays it.
+async fn run_attempt(
     script: &Script,
-    again: u32,
+    attempt: u32,
     director: u16,
     address: SocketAddr,
     watch: Duration,
-    log: &Log,
+    recorder: &Log,
     media: &Media,
-) -> End {
-    let query = script.query(again);
+) -> AttemptOutcome {
+    let query = script.query(attempt);
     let Ok(url) = Url::parse(&format!("rtsp://{address}/{}?{query}", script.title)) else {
-        return End::Left;
+        return AttemptOutcome::Left;
     };
     let connect = tokio::time::timeout(script.setup_timeout, TcpStream::connect(address));
-    let Ok(Ok(stream)) = connect.await else { return End::Broken };
+    let Ok(Ok(stream)) = connect.await else { return AttemptOutcome::Failed };
     let _ = stream.set_nodelay(true);
     let mut connection =
         Connection { framed: Framed::new(stream, Codec::default()), cseq: 0, url, session: None };
-    let asked = Instant::now();
-    let answer = async {
+    let started = Instant::now();
+    let response = async {
         connection.send(Method::Setup, Some(0)).await.ok()?;
-        connection.answer().await
+        connection.response().await
     };
     let status = |response: &Response| response.status().into();
-    let response = match script.asks(again, director, log, answer, status).await {
+    let response = match script.request_session(attempt, director, recorder, response, status).await {
         Ok(response) => response,
-        Err(end) => return end,
+        Err(outcome) => return outcome,
     };
     match response.status() {
         StatusCode::Ok => {}
         StatusCode::ServiceUnavailable | StatusCode::NotEnoughBandwidth => {
-            let after = messages::header(&response, &headers::RETRY_AFTER).and_then(|v| v.parse().ok());
-            return End::Busy(after.map(Duration::from_secs));
+            let retry_after = messages::header(&response, &headers::RETRY_AFTER).and_then(|v| v.parse().ok());
+            return AttemptOutcome::Busy(retry_after.map(Duration::from_secs));
         }
-        _ => return End::Broken,
+        _ => return AttemptOutcome::Failed,
     }
     let session = messages::header(&response, &headers::SESSION).map(|s| messages::session_id(s).to_string());
     connection.session = session;
     for track in 1..script.tracks {
         if connection.send(Method::Setup, Some(track)).await.is_err() {
-            return End::Broken;
+            return AttemptOutcome::Failed;
         }
-        match timeout_at(Instant::now() + script.setup_timeout, connection.answer()).await {
+        match timeout_at(Instant::now() + script.setup_timeout, connection.response()).await {
             Ok(Some(response)) if response.status() == StatusCode::Ok => {}
-            _ => return End::Broken,
+            _ => return AttemptOutcome::Failed,
         }
     }
     if connection.send(Method::Play, None).await.is_err() {
-        return End::Broken;
+        return AttemptOutcome::Failed;
     }
-    let until = asked + watch;
+    let until = started + watch;
     let mut last: [Option<(u32, u16)>; 2] = [None; 2];
     loop {
         match timeout_at(until, connection.framed.next()).await {
@@ -231,26 +254,26 @@
                 media.bytes.fetch_add(payload.len() as u64, Ordering::Relaxed);
                 let (ssrc, seq) = (packet.ssrc(), packet.sequence_number());
                 let last = &mut last[usize::from(channel / 2)];
-                if let Some((before, at)) = *last {
-                    media.foreign.fetch_add(u64::from(ssrc != before), Ordering::Relaxed);
-                    let back = seq.wrapping_sub(at) > 0x8000;
-                    media.backward.fetch_add(u64::from(back), Ordering::Relaxed);
+                if let Some((last_ssrc, last_seq)) = *last {
+                    media.foreign.fetch_add(u64::from(ssrc != last_ssrc), Ordering::Relaxed);
+                    let is_backward = seq.wrapping_sub(last_seq) > 0x8000;
+                    media.backward.fetch_add(u64::from(is_backward), Ordering::Relaxed);
                 }
                 *last = Some((ssrc, seq));
             }
-            // RTCP BYE: the stream is over.
+            // 203 is the packet type of RTCP BYE, which ends the stream.
             Ok(Some(Ok(Packet::Frame { payload, .. }))) if payload.get(1) == Some(&203) => {
-                return End::Broken;
+                return AttemptOutcome::Failed;
             }
             Ok(Some(Ok(Packet::Response(response)))) if response.status() != StatusCode::Ok => {
-                return End::Broken;
+                return AttemptOutcome::Failed;
             }
             Ok(Some(Ok(_))) => {}
-            Ok(Some(Err(_)) | None) => return End::Broken,
+            Ok(Some(Err(_)) | None) => return AttemptOutcome::Failed,
         }
     }
     if connection.send(Method::Teardown, None).await.is_ok() {
-        let _ = timeout_at(Instant::now() + Duration::from_millis(500), connection.answer()).await;
+        let _ = timeout_at(Instant::now() + Duration::from_millis(500), connection.response()).await;
     }
-    End::Watched
+    AttemptOutcome::Watched
 }
