--- a/crates/director/tests/hls.rs
+++ b/crates/director/tests/hls.rs
@@ -6,39 +6,46 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashglade_judge::{Plan, What};
-use ashglade_standin::hls_player::{Http, uris};
-use ashglade_standin::node::ColdPace;
-use ashglade_standin::{Fleet, Log, Spec};
+use ashglade_judge::{EventKind, RulesConfig};
+use ashglade_standin::hls_player::{HttpClient, uris};
+use ashglade_standin::node::SlowStart;
+use ashglade_standin::{Fleet, NodeSpec, TrafficRecorder};
 use expect_test::expect;
 use hyper::StatusCode;
 use stage::director_of;
 
 /// Nodes whose link carries so much, in kB a second; rungs are of 10 and 20.
-async fn nodes(count: usize, link: f64) -> (Arc<Fleet>, Log, tempfile::TempDir) {
+async fn nodes(count: usize, link: f64) -> (Arc<Fleet>, TrafficRecorder, tempfile::TempDir) {
     let folder = tempfile::tempdir().unwrap();
-    let plan = Plan {
+    let plan = RulesConfig {
         groups: Vec::new(),
         nodes: Vec::new(),
         drain_grace: 0.0,
-        cold_from: 1.0,
-        warm_after: 0.0,
-        fall_multiple: 1.0,
-        fall_span: 1.0,
-        ration: None,
-        slack: 0.0,
-        shared: None,
+        slow_start_initial_fraction: 1.0,
+        slow_start_duration: 0.0,
+        overload_multiple: 1.0,
+        overload_window: 1.0,
+        retry_budget: None,
+        timing_tolerance: 0.0,
+        fleet_limits: None,
     };
-    let log = Log::create(&folder.path().join("traffic.jsonl"), &plan).unwrap();
-    let spec = |i| Spec { name: format!("n{i}"), rack: 0, places: 50, link, guard: true };
-    let cold = ColdPace { from: 1.0, warm_after: 1e-3, multiple: 1e3, span: 1.0 };
+    let log = TrafficRecorder::create(&folder.path().join("traffic.jsonl"), &plan).unwrap();
+    let spec = |i| NodeSpec {
+        name: format!("n{i}"),
+        rack: 0,
+        max_sessions: 50,
+        link_kb_per_s: link,
+        rejects_when_full: true,
+    };
+    let cold =
+        SlowStart { initial_fraction: 1.0, duration_s: 1e-3, overload_multiple: 1e3, overload_window_s: 1.0 };
     let specs = (0..count).map(spec).collect();
     let fleet =
         Fleet::start(specs, vec![f64::INFINITY], vec![10.0, 20.0], cold, 1, log.clone()).await.unwrap();
     (fleet, log, folder)
 }
 
-async fn get(http: &mut Http, path: &str) -> (StatusCode, String) {
+async fn get(http: &mut HttpClient, path: &str) -> (StatusCode, String) {
     let got = tokio::time::timeout(Duration::from_secs(10), http.get(path)).await.expect("an answer in time");
     let (status, _, body) = got.expect("an answer");
     (status, String::from_utf8_lossy(&body).into_owned())
@@ -62,19 +69,20 @@
     playlist.lines().filter(|l| !l.contains("SEQUENCE")).take(6).map(line).collect()
 }
 
-fn count(log: &Log, what: fn(&What) -> bool) -> usize {
-    log.sights().iter().filter(|sight| what(&sight.what)).count()
+fn count(log: &TrafficRecorder, what: fn(&EventKind) -> bool) -> usize {
+    log.events().iter().filter(|event| what(&event.kind)).count()
 }
 
-fn setup(what: &What) -> bool {
-    matches!(what, What::Setup { .. })
+fn setup(what: &EventKind) -> bool {
+    matches!(what, EventKind::SetupReceived { .. })
 }
 
 #[tokio::test]
 async fn a_player_gets_playlists_of_its_own_and_segments_through_the_director() {
     let (fleet, log, _folder) = nodes(1, 1000.0).await;
-    let director = director_of(&fleet.nodes.iter().map(|n| (n.address, n.http)).collect::<Vec<_>>()).await;
-    let mut http = Http::open(director.http).await.unwrap();
+    let director =
+        director_of(&fleet.nodes.iter().map(|n| (n.address, n.http_address)).collect::<Vec<_>>()).await;
+    let mut http = HttpClient::connect(director.http).await.unwrap();
     let (status, master) = get(&mut http, "/t/index.m3u8?viewer=7.0&group=lesson").await;
     assert_eq!(status, StatusCode::OK, "{master}");
     expect![[r#"
@@ -100,7 +108,7 @@
     let segment = uris(media.as_bytes())[0].clone();
     let (status, _, bytes) = http.get(&segment).await.unwrap();
     assert_eq!((status, bytes.len()), (StatusCode::OK, 20_000));
-    let (status, _, bytes) = http.get_with(&segment, Some("bytes=100-299")).await.unwrap();
+    let (status, _, bytes) = http.get_range(&segment, Some("bytes=100-299")).await.unwrap();
     assert_eq!((status, bytes.len()), (StatusCode::PARTIAL_CONTENT, 200));
     // A hundred reloads at once cost the node nothing more than one: the director keeps a live playlist.
     for _ in 0..100 {
@@ -141,17 +149,18 @@
 #[tokio::test]
 async fn a_node_lost_between_two_segments_is_followed_by_another_with_one_setup_at_a_time() {
     let (fleet, log, _folder) = nodes(2, 1000.0).await;
-    let director = director_of(&fleet.nodes.iter().map(|n| (n.address, n.http)).collect::<Vec<_>>()).await;
-    let mut http = Http::open(director.http).await.unwrap();
+    let director =
+        director_of(&fleet.nodes.iter().map(|n| (n.address, n.http_address)).collect::<Vec<_>>()).await;
+    let mut http = HttpClient::connect(director.http).await.unwrap();
     let (_, master) = get(&mut http, "/t/index.m3u8?viewer=1.0&group=lesson").await;
     let variant = uris(master.as_bytes()).pop().unwrap();
     assert_eq!(get(&mut http, &variant).await.0, StatusCode::OK);
-    let at = |log: &Log| {
-        let name = |what: &What| match what {
-            What::Setup { node, .. } => Some(node.clone()),
+    let at = |log: &TrafficRecorder| {
+        let name = |what: &EventKind| match what {
+            EventKind::SetupReceived { node, .. } => Some(node.clone()),
             _ => None,
         };
-        log.sights().iter().filter_map(|sight| name(&sight.what)).collect::<Vec<String>>()
+        log.events().iter().filter_map(|event| name(&event.kind)).collect::<Vec<String>>()
     };
     let first = at(&log).pop().unwrap();
     fleet.stop(usize::from(first == "n1"));
@@ -182,12 +191,12 @@
 #[tokio::test]
 async fn a_token_of_a_director_that_is_gone_is_told_plainly_and_sets_nothing_up() {
     let (fleet, log, _folder) = nodes(1, 1000.0).await;
-    let addresses: Vec<_> = fleet.nodes.iter().map(|n| (n.address, n.http)).collect();
+    let addresses: Vec<_> = fleet.nodes.iter().map(|n| (n.address, n.http_address)).collect();
     let (one, other) = (director_of(&addresses).await, director_of(&addresses).await);
-    let mut http = Http::open(one.http).await.unwrap();
+    let mut http = HttpClient::connect(one.http).await.unwrap();
     let (_, master) = get(&mut http, "/t/index.m3u8?viewer=1.0").await;
     // The same keys: signed here as far as it can tell, and not known.
-    let mut next = Http::open(other.http).await.unwrap();
+    let mut next = HttpClient::connect(other.http).await.unwrap();
     let told = get(&mut next, &uris(master.as_bytes())[0]).await;
     expect![[r#"(410, "the session is over, or was another director's; begin anew\n")"#]]
         .assert_eq(&format!("{told:?}"));
@@ -198,8 +207,9 @@
 async fn a_session_counts_against_room_until_its_player_is_quiet() {
     // Room for one at the lower rung.
     let (fleet, _log, _folder) = nodes(1, 10.0).await;
-    let director = director_of(&fleet.nodes.iter().map(|n| (n.address, n.http)).collect::<Vec<_>>()).await;
-    let mut http = Http::open(director.http).await.unwrap();
+    let director =
+        director_of(&fleet.nodes.iter().map(|n| (n.address, n.http_address)).collect::<Vec<_>>()).await;
+    let mut http = HttpClient::connect(director.http).await.unwrap();
     let (status, master) = get(&mut http, "/t/index.m3u8?viewer=1.0&top=0").await;
     assert_eq!(status, StatusCode::OK);
     // The rung caps what is offered.
@@ -221,13 +231,14 @@
 async fn slow_and_large_heads_don_t_hold_the_front() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let (fleet, _log, _folder) = nodes(1, 1000.0).await;
-    let director = director_of(&fleet.nodes.iter().map(|n| (n.address, n.http)).collect::<Vec<_>>()).await;
+    let director =
+        director_of(&fleet.nodes.iter().map(|n| (n.address, n.http_address)).collect::<Vec<_>>()).await;
     let mut slow = tokio::net::TcpStream::connect(director.http).await.unwrap();
     slow.write_all(b"GET /t/index.m3u8 HTTP/1.1\r\nhost: x\r\n").await.unwrap();
     let mut large = tokio::net::TcpStream::connect(director.http).await.unwrap();
     let head = format!("GET /t/index.m3u8 HTTP/1.1\r\nhost: x\r\nx: {}\r\n\r\n", "y".repeat(40_000));
     let _ = large.write_all(head.as_bytes()).await;
-    let mut http = Http::open(director.http).await.unwrap();
+    let mut http = HttpClient::connect(director.http).await.unwrap();
     assert_eq!(get(&mut http, "/t/index.m3u8?viewer=1.0").await.0, StatusCode::OK);
     let mut answer = Vec::new();
     let read = tokio::time::timeout(Duration::from_secs(10), large.read_to_end(&mut answer));
--- a/crates/director/tests/other_client.rs
+++ b/crates/director/tests/other_client.rs
@@ -5,9 +5,9 @@
 
 use std::time::Duration;
 
-use ashglade_judge::{Plan, What};
-use ashglade_standin::node::ColdPace;
-use ashglade_standin::{Fleet, Log, Spec};
+use ashglade_judge::{EventKind, RulesConfig};
+use ashglade_standin::node::SlowStart;
+use ashglade_standin::{Fleet, NodeSpec, TrafficRecorder};
 use futures_util::StreamExt;
 use retina::client::{PacketItem, PlayOptions, Playing, Session, SessionOptions, SetupOptions, Transport};
 
@@ -35,21 +35,32 @@
 #[tokio::test]
 async fn retina_plays_across_a_change_of_rung_and_a_drain() {
     let folder = tempfile::tempdir().unwrap();
-    let plan = Plan {
+    let plan = RulesConfig {
         groups: vec![],
         nodes: vec![],
         drain_grace: 0.0,
-        cold_from: 1.0,
-        warm_after: 1.0,
-        fall_multiple: 1e9,
-        fall_span: 1.0,
-        ration: None,
-        slack: 0.0,
-        shared: None,
+        slow_start_initial_fraction: 1.0,
+        slow_start_duration: 1.0,
+        overload_multiple: 1e9,
+        overload_window: 1.0,
+        retry_budget: None,
+        timing_tolerance: 0.0,
+        fleet_limits: None,
+    };
+    let log = TrafficRecorder::create(&folder.path().join("traffic.jsonl"), &plan).unwrap();
+    let spec = NodeSpec {
+        name: "n".into(),
+        rack: 0,
+        max_sessions: 50,
+        link_kb_per_s: 1000.0,
+        rejects_when_full: false,
+    };
+    let cold = SlowStart {
+        initial_fraction: 1.0,
+        duration_s: 0.001,
+        overload_multiple: 1e9,
+        overload_window_s: 1.0,
     };
-    let log = Log::create(&folder.path().join("traffic.jsonl"), &plan).unwrap();
-    let spec = Spec { name: "n".into(), rack: 0, places: 50, link: 1000.0, guard: false };
-    let cold = ColdPace { from: 1.0, warm_after: 0.001, multiple: 1e9, span: 1.0 };
     let fleet = Fleet::start(vec![spec], vec![1e9], vec![10.0, 20.0], cold, 3, log.clone()).await.unwrap();
     let director = stage::director(&[fleet.nodes[0].address]).await;
 
@@ -67,17 +78,20 @@
         seen.read(&mut session).await;
     }
     // The link gives half of what is asked: the director steps the session down.
-    fleet.set(0, |faults| faults.link_cut = 100.0);
-    let switched = |log: &Log| log.sights().iter().any(|s| matches!(s.what, What::Switched { rung: 0, .. }));
+    fleet.update_faults(0, |faults| faults.link_divisor = 100.0);
+    let switched = |log: &TrafficRecorder| {
+        log.events().iter().any(|s| matches!(s.kind, EventKind::RungChanged { rung: 0, .. }))
+    };
     while !switched(&log) {
         seen.read(&mut session).await;
     }
-    fleet.set(0, |faults| faults.link_cut = 1.0);
+    fleet.update_faults(0, |faults| faults.link_divisor = 1.0);
     for _ in 0..40 {
         seen.read(&mut session).await;
     }
     // One session, two tracks: one SETUP as rules count it.
-    let setups = log.sights().iter().filter(|s| matches!(s.what, What::SetupAnswered { .. })).count();
+    let setups =
+        log.events().iter().filter(|s| matches!(s.kind, EventKind::SetupResponseSent { .. })).count();
     assert_eq!(setups, 1);
 
     // Told to stop, the director takes nothing new and lets this one play on for a while.
--- a/crates/judge/src/lib.rs
+++ b/crates/judge/src/lib.rs
@@ -6,8 +6,11 @@
 mod record;
 mod rules;
 
-pub use record::{Care, Group, Node, Plan, Reach, Repeats, Shared, Sight, Traffic, Trouble, What};
-pub use rules::{Broken, Finding, Verdict, judge};
+pub use record::{
+    EventKind, FleetLimits, MediaNode, RecordError, RetryLimit, RetrySafety, RetryScope, RulesConfig,
+    ServiceGroup, TrafficEvent, TrafficRecord,
+};
+pub use rules::{Finding, RulesReport, Violation, check_rules};
 
 #[cfg(test)]
 mod tests;
--- a/crates/judge/src/rules.rs
+++ b/crates/judge/src/rules.rs
@@ -3,14 +3,14 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
 
-use crate::record::{Care, Group, Plan, Reach, Traffic, What};
+use crate::record::{EventKind, RetrySafety, RetryScope, RulesConfig, ServiceGroup, TrafficRecord};
 
 /// One violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Broken {
+pub struct Violation {
     /// Milliseconds since the Unix epoch.
     pub at: f64,
-    pub what: String,
+    pub description: String,
 }
 
 /// The result of the check of one rule.
@@ -20,44 +20,44 @@
     pub name: &'static str,
     /// What was checked, in numbers.
     pub counts: String,
-    pub broken: Vec<Broken>,
+    pub violations: Vec<Violation>,
 }
 
 /// The results of all rules, and the service level.
 #[derive(Clone, Debug)]
-pub struct Verdict {
+pub struct RulesReport {
     pub findings: Vec<Finding>,
     /// Part of the requested utility that started within the start target, from 0 to 1.
-    pub service: f64,
+    pub service_level: f64,
     pub viewers: usize,
     /// For each service group with viewers: its name, its service level, and the number of its viewers.
     pub groups: Vec<(String, f64, usize)>,
 }
 
-impl Verdict {
+impl RulesReport {
     /// Returns whether no rule is violated. A record without a viewer's request proves nothing and doesn't
     /// pass.
-    pub fn held(&self) -> bool {
-        self.viewers > 0 && self.findings.iter().all(|f| f.broken.is_empty())
+    pub fn passed(&self) -> bool {
+        self.viewers > 0 && self.findings.iter().all(|f| f.violations.is_empty())
     }
 }
 
-impl fmt::Display for Verdict {
+impl fmt::Display for RulesReport {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         for finding in &self.findings {
-            let result = if finding.broken.is_empty() { "held" } else { "BROKEN" };
+            let result = if finding.violations.is_empty() { "held" } else { "BROKEN" };
             writeln!(f, "rule {} {result:6} {}: {}", finding.rule, finding.name, finding.counts)?;
-            for broken in finding.broken.iter().take(5) {
-                writeln!(f, "    {:.0} ms: {}", broken.at, broken.what)?;
+            for violation in finding.violations.iter().take(5) {
+                writeln!(f, "    {:.0} ms: {}", violation.at, violation.description)?;
             }
-            if finding.broken.len() > 5 {
-                writeln!(f, "    and {} more", finding.broken.len() - 5)?;
+            if finding.violations.len() > 5 {
+                writeln!(f, "    and {} more", finding.violations.len() - 5)?;
             }
         }
         writeln!(
             f,
             "service {:.3} (utility answered within the start target) of {} viewers",
-            self.service, self.viewers
+            self.service_level, self.viewers
         )?;
         let groups =
             self.groups.iter().map(|(name, service, viewers)| format!("{name} {service:.3} of {viewers}"));
@@ -69,7 +69,7 @@
 struct ViewerRequest<'a> {
     sent_at: f64,
     director: u16,
-    group: Option<&'a Group>,
+    group: Option<&'a ServiceGroup>,
     title: &'a str,
     setup_timeout: f64,
     /// Time and status of each response.
@@ -113,17 +113,17 @@
 type Requests<'a> = BTreeMap<(u64, u32), ViewerRequest<'a>>;
 
 /// Checks all rules against a recorded run.
-pub fn judge(traffic: &Traffic) -> Verdict {
-    let plan = &traffic.plan;
+pub fn check_rules(traffic: &TrafficRecord) -> RulesReport {
+    let config = &traffic.config;
     let mut requests: Requests = BTreeMap::new();
     let mut setups: Vec<NodeSetup> = Vec::new();
     // Index of the open SETUP by node and connection.
     let mut open_setups: BTreeMap<(&str, u64), usize> = BTreeMap::new();
-    for sight in &traffic.sights {
-        let at = sight.at;
-        match &sight.what {
-            What::Asked { viewer, again, director, group, title, setup_timeout } => {
-                let group = plan.groups.iter().find(|g| g.name == *group);
+    for event in &traffic.events {
+        let at = event.at;
+        match &event.kind {
+            EventKind::RequestSent { viewer, attempt, director, group, title, setup_timeout } => {
+                let group = config.groups.iter().find(|g| g.name == *group);
                 let request = ViewerRequest {
                     sent_at: at,
                     director: *director,
@@ -135,29 +135,29 @@
                     closed_by_director: None,
                     setups: Vec::new(),
                 };
-                requests.insert((*viewer, *again), request);
+                requests.insert((*viewer, *attempt), request);
             }
-            What::Answered { viewer, again, status } => {
-                if let Some(request) = requests.get_mut(&(*viewer, *again)) {
+            EventKind::ResponseReceived { viewer, attempt, status } => {
+                if let Some(request) = requests.get_mut(&(*viewer, *attempt)) {
                     request.responses.push((at, *status));
                 }
             }
-            What::GaveUp { viewer, again, patient } => {
-                if let Some(request) = requests.get_mut(&(*viewer, *again)) {
-                    request.abandoned = Some((at, *patient));
+            EventKind::RequestAbandoned { viewer, attempt, timed_out } => {
+                if let Some(request) = requests.get_mut(&(*viewer, *attempt)) {
+                    request.abandoned = Some((at, *timed_out));
                 }
             }
-            What::Cut { viewer, again } => {
-                if let Some(request) = requests.get_mut(&(*viewer, *again)) {
+            EventKind::ClosedWithoutResponse { viewer, attempt } => {
+                if let Some(request) = requests.get_mut(&(*viewer, *attempt)) {
                     request.closed_by_director = Some(at);
                 }
             }
-            What::Setup { node, connection, viewer, again, rung, .. } => {
+            EventKind::SetupReceived { node, connection, viewer, attempt, rung, .. } => {
                 open_setups.insert((node, *connection), setups.len());
-                if let Some(request) = requests.get_mut(&(*viewer, *again)) {
+                if let Some(request) = requests.get_mut(&(*viewer, *attempt)) {
                     request.setups.push(setups.len());
                 }
-                let (request, rung) = ((*viewer, *again), *rung);
+                let (request, rung) = ((*viewer, *attempt), *rung);
                 setups.push(NodeSetup {
                     received_at: at,
                     node,
@@ -167,26 +167,26 @@
                     closed_at: None,
                 });
             }
-            What::SetupAnswered { node, connection, status } => {
+            EventKind::SetupResponseSent { node, connection, status } => {
                 if let Some(&i) = open_setups.get(&(node.as_str(), *connection)) {
                     setups[i].response = Some((at, *status));
                 }
             }
-            What::Closed { node, connection } => {
+            EventKind::SessionClosed { node, connection } => {
                 if let Some(i) = open_setups.remove(&(node.as_str(), *connection)) {
                     setups[i].closed_at = setups[i].closed_at.or(Some(at));
                 }
             }
-            What::Withdrawn { node, viewer, again } => {
+            EventKind::SetupCancelled { node, viewer, attempt } => {
                 // Its node may notice only later, or never.
                 let is_open = |s: &&mut NodeSetup| {
-                    s.node == node && s.request == (*viewer, *again) && s.closed_at.is_none()
+                    s.node == node && s.request == (*viewer, *attempt) && s.closed_at.is_none()
                 };
                 if let Some(setup) = setups.iter_mut().rev().find(is_open) {
                     setup.closed_at = Some(at);
                 }
             }
-            What::Switched { node, connection, rung } => {
+            EventKind::RungChanged { node, connection, rung } => {
                 if let Some(&i) = open_setups.get(&(node.as_str(), *connection)) {
                     setups[i].lowest_rung = setups[i].lowest_rung.min(*rung);
                 }
@@ -196,13 +196,13 @@
     }
     let mut findings = vec![
         check_responses(traffic, &requests),
-        check_duplicate_setups(plan, &requests, &setups),
+        check_duplicate_setups(config, &requests, &setups),
         check_drains(traffic, &requests, &setups),
         check_slow_start(traffic, &setups),
-        check_floors_and_seats(plan, &requests, &setups),
-        check_retry_budget(plan, &requests, &setups),
+        check_floors_and_seats(config, &requests, &setups),
+        check_retry_budget(config, &requests, &setups),
     ];
-    if let Some(limits) = &plan.shared {
+    if let Some(limits) = &config.fleet_limits {
         let further_setups = requests.values().flat_map(|request| {
             let later = request
                 .setups
@@ -213,47 +213,47 @@
         });
         findings.extend(crate::fleet_rules::check_fleet(
             limits,
-            plan.slack,
+            config.timing_tolerance,
             further_setups.collect(),
-            &traffic.sights,
+            &traffic.events,
         ));
     }
     let (service, viewers) = service_level(&requests, |_| true);
-    let group_service = |group: &Group| {
+    let group_service = |group: &ServiceGroup| {
         let (service, viewers) = self::service_level(&requests, |other| other.name == group.name);
         (group.name.clone(), service, viewers)
     };
-    let groups = plan.groups.iter().map(group_service).filter(|(.., viewers)| *viewers > 0).collect();
-    Verdict { findings, service, viewers, groups }
+    let groups = config.groups.iter().map(group_service).filter(|(.., viewers)| *viewers > 0).collect();
+    RulesReport { findings, service_level: service, viewers, groups }
 }
 
 /// Rule 1: each request to a running director gets exactly one response, before its setup timeout.
-fn check_responses(traffic: &Traffic, requests: &Requests) -> Finding {
-    let mut broken = Vec::new();
+fn check_responses(traffic: &TrafficRecord, requests: &Requests) -> Finding {
+    let mut violations = Vec::new();
     // Director, start and end of the times at which it was not running: killed, or stopped.
     let outages: Vec<(u16, f64, f64)> = traffic
-        .sights
+        .events
         .iter()
-        .filter_map(|sight| match sight.what {
-            What::DirectorKilled { director } => {
-                let is_restart = |s: &&crate::Sight| {
-                    s.at > sight.at
-                        && matches!(s.what, What::DirectorStarted { director: d } if d == director)
+        .filter_map(|event| match event.kind {
+            EventKind::DirectorKilled { director } => {
+                let is_restart = |s: &&crate::TrafficEvent| {
+                    s.at > event.at
+                        && matches!(s.kind, EventKind::DirectorStarted { director: d } if d == director)
                 };
-                let until = traffic.sights.iter().find(is_restart).map_or(sight.at, |s| s.at);
-                Some((director, sight.at, until + traffic.plan.slack))
+                let until = traffic.events.iter().find(is_restart).map_or(event.at, |s| s.at);
+                Some((director, event.at, until + traffic.config.timing_tolerance))
             }
-            What::DirectorStood { director, from } => Some((director, from, sight.at)),
+            EventKind::DirectorPaused { director, from } => Some((director, from, event.at)),
             _ => None,
         })
         .collect();
     let (mut started, mut busy, mut failed, mut left, mut excused) = (0, 0, 0, 0, 0);
-    for (&(viewer, again), request) in requests {
+    for (&(viewer, attempt), request) in requests {
         let deadline = request.sent_at + request.setup_timeout;
         let was_down = outages.iter().any(|&(director, from, to)| {
             director == request.director && from <= deadline && to >= request.sent_at
         });
-        let label = format!("viewer {viewer} try {again} at director {}", request.director);
+        let label = format!("viewer {viewer} try {attempt} at director {}", request.director);
         match request.responses.as_slice() {
             [(at, status)] => {
                 match status {
@@ -263,13 +263,13 @@
                 }
                 if *at > deadline && !was_down {
                     let late = at - deadline;
-                    broken.push(Broken {
+                    violations.push(Violation {
                         at: *at,
-                        what: format!("{label} answered {late:.0} ms after its setup timeout"),
+                        description: format!("{label} answered {late:.0} ms after its setup timeout"),
                     });
                 }
             }
-            [] if request.abandoned.is_some_and(|(_, patient)| !patient) => left += 1,
+            [] if request.abandoned.is_some_and(|(_, timed_out)| !timed_out) => left += 1,
             [] if was_down => excused += 1,
             [] => {
                 let at =
@@ -279,10 +279,12 @@
                 } else {
                     "never answered"
                 };
-                broken.push(Broken { at, what: format!("{label} was {outcome}") });
+                violations.push(Violation { at, description: format!("{label} was {outcome}") });
             }
-            [_, (at, _), ..] => broken
-                .push(Broken { at: *at, what: format!("{label} had {} answers", request.responses.len()) }),
+            [_, (at, _), ..] => violations.push(Violation {
+                at: *at,
+                description: format!("{label} had {} answers", request.responses.len()),
+            }),
         }
     }
     let counts = format!(
@@ -290,37 +292,40 @@
          were down",
         requests.len()
     );
-    Finding { rule: 1, name: "no session is lost", counts, broken }
+    Finding { rule: 1, name: "no session is lost", counts, violations }
 }
 
 /// Rule 2: a session never has two outstanding SETUPs. Where a SETUP may have run, the session is set up
 /// again only as its group allows, and a session that must not be set up again gets no busy reply.
-fn check_duplicate_setups(plan: &Plan, requests: &Requests, setups: &[NodeSetup]) -> Finding {
-    let mut broken = Vec::new();
+fn check_duplicate_setups(config: &RulesConfig, requests: &Requests, setups: &[NodeSetup]) -> Finding {
+    let mut violations = Vec::new();
     let mut further_count = 0;
-    for (&(viewer, again), request) in requests {
+    for (&(viewer, attempt), request) in requests {
         let Some(group) = request.group else { continue };
-        let label = format!("viewer {viewer} try {again}");
+        let label = format!("viewer {viewer} try {attempt}");
         let mut may_have_run: Option<&NodeSetup> = None;
         for (k, &i) in request.setups.iter().enumerate() {
             let setup = &setups[i];
             further_count += usize::from(k > 0);
             if let Some(&earlier) = request.setups[..k]
                 .iter()
-                .find(|&&j| setups[j].outstanding_until() > setup.received_at + plan.slack)
+                .find(|&&j| setups[j].outstanding_until() > setup.received_at + config.timing_tolerance)
             {
                 let node = setups[earlier].node;
-                broken.push(Broken {
+                violations.push(Violation {
                     at: setup.received_at,
-                    what: format!("{label} has SETUPs outstanding at {node} and {} at once", setup.node),
+                    description: format!(
+                        "{label} has SETUPs outstanding at {node} and {} at once",
+                        setup.node
+                    ),
                 });
             }
             if let Some(first) = may_have_run
-                && !may_set_up_again(plan, group, first, setup)
+                && !may_set_up_again(config, group, first, setup)
             {
-                broken.push(Broken {
+                violations.push(Violation {
                     at: setup.received_at,
-                    what: format!(
+                    description: format!(
                         "{label} of {} set up again at {}, may have run at {}",
                         group.name, setup.node, first.node
                     ),
@@ -329,48 +334,50 @@
             may_have_run = may_have_run.or((!setup.never_ran()).then_some(setup));
         }
         let busy_reply = request.responses.iter().find(|(_, status)| matches!(status, 453 | 503));
-        if let (Some(&(at, _)), Some(first), Care::Fragile) = (busy_reply, may_have_run, group.care) {
-            broken.push(Broken {
+        if let (Some(&(at, _)), Some(first), RetrySafety::Fragile) =
+            (busy_reply, may_have_run, group.retry_safety)
+        {
+            violations.push(Violation {
                 at,
-                what: format!("{label} got a busy reply though it may have run at {}", first.node),
+                description: format!("{label} got a busy reply though it may have run at {}", first.node),
             });
         }
     }
     let counts = format!("{} SETUPs, {further_count} beyond a session's first", setups.len());
-    Finding { rule: 2, name: "no set-up happens twice", counts, broken }
+    Finding { rule: 2, name: "no set-up happens twice", counts, violations }
 }
 
 /// Returns whether `next` may follow `first`, which may have run.
-fn may_set_up_again(plan: &Plan, group: &Group, first: &NodeSetup, next: &NodeSetup) -> bool {
-    let node = |name: &str| plan.nodes.iter().find(|n| n.name == name);
-    match group.care {
-        Care::Safe => true,
-        Care::Fragile => false,
-        Care::Dedup => {
-            let in_scope = match (group.reach, node(first.node), node(next.node)) {
-                (Reach::Anywhere, ..) => true,
-                (Reach::SameZone, Some(a), Some(b)) => a.zone == b.zone,
-                (Reach::SameCell, Some(a), Some(b)) => a.cell == b.cell,
+fn may_set_up_again(config: &RulesConfig, group: &ServiceGroup, first: &NodeSetup, next: &NodeSetup) -> bool {
+    let node = |name: &str| config.nodes.iter().find(|n| n.name == name);
+    match group.retry_safety {
+        RetrySafety::Safe => true,
+        RetrySafety::Fragile => false,
+        RetrySafety::Dedup => {
+            let in_scope = match (group.retry_scope, node(first.node), node(next.node)) {
+                (RetryScope::Anywhere, ..) => true,
+                (RetryScope::SameZone, Some(a), Some(b)) => a.zone == b.zone,
+                (RetryScope::SameCell, Some(a), Some(b)) => a.cell == b.cell,
                 _ => false,
             };
-            in_scope && next.received_at - first.received_at <= group.repeat_window + plan.slack
+            in_scope && next.received_at - first.received_at <= group.retry_window + config.timing_tolerance
         }
     }
 }
 
 /// Rule 3: a director sends no SETUP to a node that its list has named as not ready for longer than the grace
 /// period.
-fn check_drains(traffic: &Traffic, requests: &Requests, setups: &[NodeSetup]) -> Finding {
-    let grace = traffic.plan.drain_grace;
+fn check_drains(traffic: &TrafficRecord, requests: &Requests, setups: &[NodeSetup]) -> Finding {
+    let grace = traffic.config.drain_grace;
     // By director and node: the time of each listing, and whether it was ready.
     let mut listings: BTreeMap<(u16, &str), Vec<(f64, bool)>> = BTreeMap::new();
-    for sight in &traffic.sights {
-        if let What::Listed { director, node, ready } = &sight.what {
-            listings.entry((*director, node)).or_default().push((sight.at, *ready));
+    for event in &traffic.events {
+        if let EventKind::NodeListed { director, node, ready } = &event.kind {
+            listings.entry((*director, node)).or_default().push((event.at, *ready));
         }
     }
     let drained = listings.values().flatten().filter(|(_, ready)| !ready).count();
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     let mut latest: f64 = 0.0;
     for setup in setups {
         let Some(director) = requests.get(&setup.request).map(|request| request.director) else { continue };
@@ -380,11 +387,11 @@
             let late = setup.received_at - at;
             latest = latest.max(late);
             if late > grace {
-                let (viewer, again) = setup.request;
-                broken.push(Broken {
+                let (viewer, attempt) = setup.request;
+                violations.push(Violation {
                     at: setup.received_at,
-                    what: format!(
-                        "viewer {viewer} try {again} set up at {} {late:.0} ms after director {director}'s list changed",
+                    description: format!(
+                        "viewer {viewer} try {attempt} set up at {} {late:.0} ms after director {director}'s list changed",
                         setup.node
                     ),
                 });
@@ -394,47 +401,55 @@
     let counts = format!(
         "{drained} drains or losses listed, the last SETUP {latest:.0} ms after one, {grace:.0} allowed"
     );
-    Finding { rule: 3, name: "drains are respected", counts, broken }
+    Finding { rule: 3, name: "drains are respected", counts, violations }
 }
 
 /// Rule 4: in any window a cold node receives SETUPs at less than the overload multiple of its current
 /// session rate, which rises linearly from its start.
-fn check_slow_start(traffic: &Traffic, setups: &[NodeSetup]) -> Finding {
-    let plan = &traffic.plan;
+fn check_slow_start(traffic: &TrafficRecord, setups: &[NodeSetup]) -> Finding {
+    let config = &traffic.config;
     let mut started: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
-    let mut broken = Vec::new();
-    for sight in &traffic.sights {
-        match &sight.what {
-            What::NodeStarted { node } => started.entry(node).or_default().push(sight.at),
-            What::NodeFell { node } => {
-                broken.push(Broken { at: sight.at, what: format!("{node} was overloaded while cold") });
+    let mut violations = Vec::new();
+    for event in &traffic.events {
+        match &event.kind {
+            EventKind::NodeStarted { node } => started.entry(node).or_default().push(event.at),
+            EventKind::NodeOverloaded { node } => {
+                violations.push(Violation {
+                    at: event.at,
+                    description: format!("{node} was overloaded while cold"),
+                });
             }
             _ => {}
         }
     }
     let (mut cold_setups, mut max_used) = (0, 0.0f64);
-    for node in &plan.nodes {
+    for node in &config.nodes {
         for &start in started.get(node.name.as_str()).into_iter().flatten() {
             let mut window: VecDeque<f64> = VecDeque::new();
             for setup in setups.iter().filter(|s| s.node == node.name) {
                 let age = setup.received_at - start;
-                if !(0.0..plan.warm_after).contains(&age) {
+                if !(0.0..config.slow_start_duration).contains(&age) {
                     continue;
                 }
                 cold_setups += 1;
                 window.push_back(setup.received_at);
-                while window.front().is_some_and(|&at| at < setup.received_at - plan.fall_span) {
+                while window.front().is_some_and(|&at| at < setup.received_at - config.overload_window) {
                     window.pop_front();
                 }
-                let capacity_fraction = plan.cold_from + (1.0 - plan.cold_from) * age / plan.warm_after;
-                let session_rate = node.places / plan.warm_after * capacity_fraction;
+                let capacity_fraction = config.slow_start_initial_fraction
+                    + (1.0 - config.slow_start_initial_fraction) * age / config.slow_start_duration;
+                let session_rate = node.max_sessions / config.slow_start_duration * capacity_fraction;
                 // One more, as SETUPs arrive in whole numbers.
-                let allowed = plan.fall_multiple * session_rate * plan.fall_span + 1.0;
+                let allowed = config.overload_multiple * session_rate * config.overload_window + 1.0;
                 max_used = max_used.max(window.len() as f64 / allowed);
                 if window.len() as f64 > allowed {
-                    broken.push(Broken {
+                    violations.push(Violation {
                         at: setup.received_at,
-                        what: format!("{} was sent {} SETUPs, {allowed:.1} allowed", node.name, window.len()),
+                        description: format!(
+                            "{} was sent {} SETUPs, {allowed:.1} allowed",
+                            node.name,
+                            window.len()
+                        ),
                     });
                 }
             }
@@ -445,27 +460,27 @@
         "{start_count} starts, {cold_setups} SETUPs at cold nodes, at most {:.0}% of a node's limit",
         max_used * 100.0
     );
-    Finding { rule: 4, name: "cold media nodes are not overloaded", counts, broken }
+    Finding { rule: 4, name: "cold media nodes are not overloaded", counts, violations }
 }
 
 /// Rule 5: no session gets a rung below the floor of its group, and no director holds more sessions of one
 /// title and group than the group has seats.
-fn check_floors_and_seats(plan: &Plan, requests: &Requests, setups: &[NodeSetup]) -> Finding {
-    let mut broken = Vec::new();
+fn check_floors_and_seats(config: &RulesConfig, requests: &Requests, setups: &[NodeSetup]) -> Finding {
+    let mut violations = Vec::new();
     let mut max_taken = 0;
     for setup in setups {
         if let Some(group) = requests.get(&setup.request).and_then(|r| r.group)
-            && setup.lowest_rung < group.floor
+            && setup.lowest_rung < group.floor_rung
         {
-            let (viewer, again) = setup.request;
-            let what = format!(
-                "viewer {viewer} try {again} of {} at rung {}, below its floor",
+            let (viewer, attempt) = setup.request;
+            let description = format!(
+                "viewer {viewer} try {attempt} of {} at rung {}, below its floor",
                 group.name, setup.lowest_rung
             );
-            broken.push(Broken { at: setup.received_at, what });
+            violations.push(Violation { at: setup.received_at, description });
         }
     }
-    for group in plan.groups.iter().filter(|g| g.seats > 0) {
+    for group in config.groups.iter().filter(|g| g.seats > 0) {
         // By director and title: times at which a seat is taken (+1) and released (-1). A seat is released
         // when the node has rejected the SETUP or the session has ended there.
         let mut seats: BTreeMap<(u16, &str), Vec<(f64, i64)>> = BTreeMap::new();
@@ -475,8 +490,10 @@
                 let rejected_at = setup.response.filter(|(_, status)| *status != 200).map(|(at, _)| at);
                 let end = rejected_at.or(setup.closed_at).unwrap_or(f64::INFINITY);
                 let seat_changes = seats.entry((request.director, request.title)).or_default();
-                seat_changes
-                    .extend([(setup.received_at, 1), ((end - plan.slack).max(setup.received_at), -1)]);
+                seat_changes.extend([
+                    (setup.received_at, 1),
+                    ((end - config.timing_tolerance).max(setup.received_at), -1),
+                ]);
             }
         }
         for ((director, title), mut changes) in seats {
@@ -486,26 +503,26 @@
                 taken += change;
                 max_taken = max_taken.max(taken);
                 if taken > group.seats as i64 {
-                    let what =
+                    let description =
                         format!("director {director} holds {taken} sessions of {title} for {}", group.name);
-                    broken.push(Broken { at, what });
+                    violations.push(Violation { at, description });
                 }
             }
         }
     }
     let counts =
         format!("{} SETUPs checked for floors, at most {max_taken} seats of one title taken", setups.len());
-    Finding { rule: 5, name: "floors and seats are respected", counts, broken }
+    Finding { rule: 5, name: "floors and seats are respected", counts, violations }
 }
 
 /// Rule 6: in any window the further SETUPs of one director, those after the first of their session, stay
 /// within the retry budget.
-fn check_retry_budget(plan: &Plan, requests: &Requests, setups: &[NodeSetup]) -> Finding {
+fn check_retry_budget(config: &RulesConfig, requests: &Requests, setups: &[NodeSetup]) -> Finding {
     let name = "further SETUPs stay within the budget";
-    let Some((base_retries, per_session, window)) = plan.ration else {
-        return Finding { rule: 6, name, counts: "no budget is set".into(), broken: Vec::new() };
+    let Some((base_retries, per_session, window)) = config.retry_budget else {
+        return Finding { rule: 6, name, counts: "no budget is set".into(), violations: Vec::new() };
     };
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     let mut max_used = 0.0f64;
     // By director: times of its viewers' requests, and of its further SETUPs.
     let mut requested: BTreeMap<u16, Vec<f64>> = BTreeMap::new();
@@ -523,21 +540,23 @@
             let sent = times[..=i].iter().filter(in_window).count() as f64;
             // The director may count a request near the edge of the window on either side of it.
             let sessions =
-                requested.iter().filter(|&&t| t > at - window - plan.slack && t <= at).count() as f64;
+                requested.iter().filter(|&&t| t > at - window - config.timing_tolerance && t <= at).count()
+                    as f64;
             let allowed = base_retries + per_session * sessions;
             max_used = max_used.max(sent / allowed.max(1e-9));
             if sent > allowed {
-                let what = format!("director {director} sent {sent} further SETUPs, {allowed:.1} allowed");
-                broken.push(Broken { at, what });
+                let description =
+                    format!("director {director} sent {sent} further SETUPs, {allowed:.1} allowed");
+                violations.push(Violation { at, description });
             }
         }
     }
     let counts = format!("at most {:.0}% of the budget used", max_used * 100.0);
-    Finding { rule: 6, name, counts, broken }
+    Finding { rule: 6, name, counts, violations }
 }
 
 /// Returns the service level of the selected groups, and the number of their viewers.
-fn service_level(requests: &Requests, is_selected: impl Fn(&Group) -> bool) -> (f64, usize) {
+fn service_level(requests: &Requests, is_selected: impl Fn(&ServiceGroup) -> bool) -> (f64, usize) {
     // By viewer: its utility, and whether one of its attempts started within the start target.
     let mut viewers: BTreeMap<u64, (f64, bool)> = BTreeMap::new();
     for (&(viewer, _), request) in requests {
--- a/crates/judge/src/tests.rs
+++ b/crates/judge/src/tests.rs
@@ -4,93 +4,108 @@
 
 use super::*;
 
-fn plan() -> Plan {
-    let group = |name: &str, care, floor, seats| Group {
+fn config() -> RulesConfig {
+    let group = |name: &str, retry_safety, floor_rung, seats| ServiceGroup {
         name: name.into(),
         utility: 1.0,
         start_target: 1000.0,
-        care,
-        reach: Reach::SameZone,
-        repeat_window: 500.0,
-        floor,
+        retry_safety,
+        retry_scope: RetryScope::SameZone,
+        retry_window: 500.0,
+        floor_rung,
         seats,
     };
-    let node = |n: u16| Node { name: format!("n{n}"), places: 20.0, zone: n as u8 % 2, cell: n };
-    Plan {
+    let node = |n: u16| MediaNode { name: format!("n{n}"), max_sessions: 20.0, zone: n as u8 % 2, cell: n };
+    RulesConfig {
         groups: vec![
-            group("safe", Care::Safe, 0, 0),
-            group("dedup", Care::Dedup, 0, 0),
-            group("fragile", Care::Fragile, 1, 2),
+            group("safe", RetrySafety::Safe, 0, 0),
+            group("dedup", RetrySafety::Dedup, 0, 0),
+            group("fragile", RetrySafety::Fragile, 1, 2),
         ],
         nodes: (1..=3).map(node).collect(),
         drain_grace: 500.0,
-        cold_from: 0.5,
-        warm_after: 10_000.0,
-        fall_multiple: 2.0,
-        fall_span: 1000.0,
-        ration: Some((1.0, 0.5, 10_000.0)),
-        slack: 20.0,
-        shared: None,
+        slow_start_initial_fraction: 0.5,
+        slow_start_duration: 10_000.0,
+        overload_multiple: 2.0,
+        overload_window: 1000.0,
+        retry_budget: Some((1.0, 0.5, 10_000.0)),
+        timing_tolerance: 20.0,
+        fleet_limits: None,
     }
 }
 
 /// Parses a script with one event a line: its time in milliseconds, its kind and its fields.
-fn parse_traffic(script: &str) -> Traffic {
-    let mut sights = Vec::new();
+fn parse_traffic(script: &str) -> TrafficRecord {
+    let mut events = Vec::new();
     for line in script.lines().map(str::trim).filter(|l| !l.is_empty()) {
         let mut words = line.split_whitespace();
         let mut word = || words.next().expect("missing field");
         let at: f64 = word().parse().expect("malformed time");
-        let kind = word();
+        let event_name = word();
         let mut number = || word().parse::<f64>().expect("malformed number");
-        let what = match kind {
+        let kind = match event_name {
             "request" => {
                 let (viewer, director) = (number() as u64, number() as u16);
                 let group = word().to_string();
                 let title = "t".to_string();
-                What::Asked { viewer, again: 0, director, group, title, setup_timeout: 3000.0 }
+                EventKind::RequestSent { viewer, attempt: 0, director, group, title, setup_timeout: 3000.0 }
+            }
+            "response" => {
+                EventKind::ResponseReceived { viewer: number() as u64, attempt: 0, status: number() as u16 }
+            }
+            "timeout" => EventKind::RequestAbandoned { viewer: number() as u64, attempt: 0, timed_out: true },
+            "abandon" => {
+                EventKind::RequestAbandoned { viewer: number() as u64, attempt: 0, timed_out: false }
             }
-            "response" => What::Answered { viewer: number() as u64, again: 0, status: number() as u16 },
-            "timeout" => What::GaveUp { viewer: number() as u64, again: 0, patient: true },
-            "abandon" => What::GaveUp { viewer: number() as u64, again: 0, patient: false },
             "setup" => {
                 let (viewer, connection, rung) = (number() as u64, number() as u64, number() as u8);
                 let (node, title) = (word().to_string(), "t".to_string());
-                What::Setup { node, connection, viewer, again: 0, title, rung }
+                EventKind::SetupReceived { node, connection, viewer, attempt: 0, title, rung }
             }
             "setup-response" => {
                 let (connection, status) = (number() as u64, number() as u16);
-                What::SetupAnswered { connection, status, node: word().to_string() }
+                EventKind::SetupResponseSent { connection, status, node: word().to_string() }
             }
-            "close" => What::Closed { connection: number() as u64, node: word().to_string() },
+            "close" => EventKind::SessionClosed { connection: number() as u64, node: word().to_string() },
             "rung" => {
                 let (connection, rung) = (number() as u64, number() as u8);
-                What::Switched { connection, rung, node: word().to_string() }
+                EventKind::RungChanged { connection, rung, node: word().to_string() }
+            }
+            "not-ready" => {
+                EventKind::NodeListed { director: number() as u16, node: word().to_string(), ready: false }
+            }
+            "ready" => {
+                EventKind::NodeListed { director: number() as u16, node: word().to_string(), ready: true }
             }
-            "not-ready" => What::Listed { director: number() as u16, node: word().to_string(), ready: false },
-            "ready" => What::Listed { director: number() as u16, node: word().to_string(), ready: true },
-            "node-start" => What::NodeStarted { node: word().to_string() },
-            "director-kill" => What::DirectorKilled { director: number() as u16 },
-            "director-start" => What::DirectorStarted { director: number() as u16 },
+            "node-start" => EventKind::NodeStarted { node: word().to_string() },
+            "director-kill" => EventKind::DirectorKilled { director: number() as u16 },
+            "director-start" => EventKind::DirectorStarted { director: number() as u16 },
             "permit-release" | "permit-request" | "permit-grant" | "permit-grant-lost" => {
-                let (holder, voter, process, ask) = (number() as u16, number() as u16, 1, number() as u64);
-                match kind {
-                    "permit-request" => What::RightsAsked { holder, voter, process, ask },
-                    "permit-release" => {
-                        What::RightsBack { holder, voter, process, ask, rights: vec![(1, number() as u32)] }
-                    }
+                let (holder, voter, process_id, round) =
+                    (number() as u16, number() as u16, 1, number() as u64);
+                match event_name {
+                    "permit-request" => EventKind::PermitsRequested { holder, voter, process_id, round },
+                    "permit-release" => EventKind::PermitsReleased {
+                        holder,
+                        voter,
+                        process_id,
+                        round,
+                        permits: vec![(1, number() as u32)],
+                    },
                     _ => {
-                        let (passed, rights) = (kind == "permit-grant", vec![(1, number() as u32)]);
-                        What::RightsGranted { passed, voter, holder, process, ask, rights }
+                        let (delivered, permits) = (event_name == "permit-grant", vec![(1, number() as u32)]);
+                        EventKind::PermitsGranted { delivered, voter, holder, process_id, round, permits }
                     }
                 }
             }
-            "cancel" => What::Withdrawn { viewer: number() as u64, again: 0, node: word().to_string() },
+            "cancel" => {
+                EventKind::SetupCancelled { viewer: number() as u64, attempt: 0, node: word().to_string() }
+            }
             other => panic!("unknown kind of event: {other}"),
         };
-        sights.push(Sight { at, what });
+        events.push(TrafficEvent { at, kind });
     }
-    Traffic { plan: plan(), sights }
+    TrafficRecord { config: config(), events }
 }
 
 fn expect_violations(script: &str, expected: Expect) {
@@ -101,25 +116,26 @@
 /// second. Each needs a permit, with a lease of two seconds.
 fn expect_fleet_violations(script: &str, expected: Expect) {
     let mut traffic = parse_traffic(script);
-    (traffic.plan.slack, traffic.plan.ration) = (20.0, None);
-    traffic.plan.shared = Some(Shared {
+    (traffic.config.timing_tolerance, traffic.config.retry_budget) = (20.0, None);
+    traffic.config.fleet_limits = Some(FleetLimits {
         lease: 2000.0,
-        drift: 0.0,
-        rest: 1500.0,
-        under_way: 300.0,
-        stalled: 0.0,
-        councils: vec![vec![0, 1, 2]; 3],
-        repeats: Some(Repeats { at_node: 2, kept: 0, span: 1000.0, pool: 1 }),
+        max_clock_drift: 0.0,
+        guard_interval: 1500.0,
+        max_send_delay: 300.0,
+        longest_stall: 0.0,
+        voters: vec![vec![0, 1, 2]; 3],
+        retry_limit: Some(RetryLimit { max_per_node: 2, max_without_permit: 0, window: 1000.0, pool: 1 }),
     });
     assert_violations(&traffic, expected);
 }
 
-fn assert_violations(traffic: &Traffic, expected: Expect) {
-    let verdict = judge(traffic);
-    let violations = verdict
-        .findings
-        .iter()
-        .flat_map(|f| f.broken.iter().map(move |b| format!("rule {} at {}: {}\n", f.rule, b.at, b.what)));
+fn assert_violations(traffic: &TrafficRecord, expected: Expect) {
+    let report = check_rules(traffic);
+    let violations = report.findings.iter().flat_map(|finding| {
+        finding.violations.iter().map(move |violation| {
+            format!("rule {} at {}: {}\n", finding.rule, violation.at, violation.description)
+        })
+    });
     let text: String = violations.collect();
     expected.assert_eq(if text.is_empty() { "held\n" } else { &text });
 }
@@ -331,10 +347,10 @@
 
 #[test]
 fn the_error_for_a_malformed_record_names_the_line() {
-    let text = serde_json::to_string(&plan()).unwrap() + "\n{\"at\":1,\"what\":\"asked\"}\n";
+    let text = serde_json::to_string(&config()).unwrap() + "\n{\"at\":1,\"what\":\"asked\"}\n";
     expect!["line 2: missing field `viewer` at line 1 column 23"]
-        .assert_eq(&Traffic::read(&text).unwrap_err().to_string());
-    assert!(!judge(&parse_traffic("")).held(), "a record without requests must not pass");
+        .assert_eq(&TrafficRecord::parse(&text).unwrap_err().to_string());
+    assert!(!check_rules(&parse_traffic("")).passed(), "a record without requests must not pass");
 }
 
 #[test]
--- a/crates/lab/src/directors.rs
+++ b/crates/lab/src/directors.rs
@@ -5,9 +5,9 @@
 use std::process::Stdio;
 use std::sync::Mutex;
 
-use ashglade_judge::What;
+use ashglade_judge::EventKind;
 use ashglade_settings::schema::headend as schema;
-use ashglade_standin::Log;
+use ashglade_standin::TrafficRecorder;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use prost_reflect::{DescriptorPool, DynamicMessage};
@@ -25,7 +25,7 @@
     /// By director: its HLS address, and the socket that reserves it.
     hls_ports: Vec<(SocketAddr, TcpSocket)>,
     children: Mutex<Vec<Option<Child>>>,
-    log: Log,
+    log: TrafficRecorder,
     /// Name of the fault to inject into the directors.
     pub defect: Option<String>,
 }
@@ -36,7 +36,7 @@
     pub fn prepare(
         day: &Day,
         out: &Path,
-        log: Log,
+        log: TrafficRecorder,
         peers: impl Fn(u16) -> Option<Vec<String>>,
     ) -> Result<Directors, String> {
         let count = day.directors.unwrap_or(1) as u16;
@@ -104,7 +104,7 @@
         self.replace_child(index, Some(child));
         for _ in 0..200 {
             if tokio::net::TcpStream::connect(address).await.is_ok() {
-                self.log.saw(What::DirectorStarted { director: index });
+                self.log.record(EventKind::DirectorStarted { director: index });
                 return Ok(());
             }
             tokio::time::sleep(std::time::Duration::from_millis(25)).await;
@@ -133,7 +133,7 @@
     /// Kills a director with SIGKILL.
     pub async fn kill(&self, index: u16) {
         if let Some(mut child) = self.replace_child(index, None) {
-            self.log.saw(What::DirectorKilled { director: index });
+            self.log.record(EventKind::DirectorKilled { director: index });
             let _ = child.kill().await;
         }
     }
@@ -146,7 +146,7 @@
     /// Resumes a suspended director, and logs that it was stalled since `from` (log time in ms).
     pub fn resume(&self, index: u16, from: f64) {
         self.signal(index, Signal::SIGCONT);
-        self.log.saw(What::DirectorStood { director: index, from });
+        self.log.record(EventKind::DirectorPaused { director: index, from });
     }
 
     /// Sends SIGTERM to all and waits up to `within` for each; true if all exited successfully.
--- a/crates/lab/src/emulator/director.rs
+++ b/crates/lab/src/emulator/director.rs
@@ -112,7 +112,7 @@
         let sessions = self.directors[director].kill();
         for (session_id, session) in sessions {
             if let Some(node) = session.playing_on.or(session.pending_setup.and_then(|(_, node)| node)) {
-                let retention_s = self.fleet.nodes[node].faults.keeps.as_secs_f64();
+                let retention_s = self.fleet.nodes[node].faults.orphan_retention.as_secs_f64();
                 self.schedule_after(
                     self.network_delay_s + retention_s,
                     Event::StreamEnds { key: (director as u16, session_id), node },
@@ -259,7 +259,7 @@
                     sessions.remove(&session_id);
                 }
                 if let Some(node) = node {
-                    let retention_s = self.fleet.nodes[node].faults.keeps.as_secs_f64();
+                    let retention_s = self.fleet.nodes[node].faults.orphan_retention.as_secs_f64();
                     self.schedule_after(
                         network_delay_s + retention_s,
                         Event::StreamEnds { key: (director, session_id), node },
--- a/crates/lab/src/emulator/environment.rs
+++ b/crates/lab/src/emulator/environment.rs
@@ -58,17 +58,20 @@
     /// Sets the fault in a node's faults.
     pub fn apply(self, faults: &mut ashglade_standin::Faults) {
         match self {
-            NodeFault::ReplyLost(enabled) => faults.answer_lost = enabled,
+            NodeFault::ReplyLost(enabled) => faults.drop_setup_responses = enabled,
             NodeFault::Hang(enabled) => faults.hang = enabled,
-            NodeFault::ErrorRate(rate) => faults.errors = rate,
-            NodeFault::ResetRate(rate) => faults.resets = rate,
-            NodeFault::LinkSlowdown(factor) => faults.link_cut = factor,
-            NodeFault::FrozenReports(enabled) => faults.reports_frozen = enabled,
-            NodeFault::SetupDelay(seconds) => faults.delay = Duration::from_secs_f64(seconds),
+            NodeFault::ErrorRate(rate) => faults.error_fraction = rate,
+            NodeFault::ResetRate(rate) => faults.reset_fraction = rate,
+            NodeFault::LinkSlowdown(factor) => faults.link_divisor = factor,
+            NodeFault::FrozenReports(enabled) => faults.freeze_load_reports = enabled,
+            NodeFault::SetupDelay(seconds) => faults.setup_delay = Duration::from_secs_f64(seconds),
             NodeFault::SetupQueue(seconds) => {
-                (faults.queue, faults.delay) = (seconds > 0.0, Duration::from_secs_f64(seconds))
+                (faults.serialize_setups, faults.setup_delay) =
+                    (seconds > 0.0, Duration::from_secs_f64(seconds))
+            }
+            NodeFault::SessionRetention(seconds) => {
+                faults.orphan_retention = Duration::from_secs_f64(seconds)
             }
-            NodeFault::SessionRetention(seconds) => faults.keeps = Duration::from_secs_f64(seconds),
         }
     }
 }
--- a/crates/lab/src/emulator/nodes.rs
+++ b/crates/lab/src/emulator/nodes.rs
@@ -5,15 +5,15 @@
 
 use ashglade::ids::SessionId;
 use ashglade_engine::LoadReport;
-use ashglade_standin::node::ColdPace;
-use ashglade_standin::{Faults, Spec};
+use ashglade_standin::node::SlowStart;
+use ashglade_standin::{Faults, NodeSpec};
 
 /// Identifies a stream at a node: the director and its session.
 pub type StreamKey = (u16, SessionId);
 
 /// One media node.
 pub struct Node {
-    pub spec: Spec,
+    pub spec: NodeSpec,
     /// Whether the process runs.
     pub up: bool,
     /// Whether the node was overloaded while cold; it stays down.
@@ -64,16 +64,16 @@
     pub uplink_slowdowns: Vec<f64>,
     /// Demand on each rack's uplink in kB/s: the sum over its nodes, each limited by the node's own link.
     uplink_demand: Vec<f64>,
-    cold_pace: ColdPace,
+    cold_pace: SlowStart,
     random: oorandom::Rand64,
 }
 
 impl Fleet {
     pub fn new(
-        specs: Vec<Spec>,
+        specs: Vec<NodeSpec>,
         uplinks: Vec<f64>,
         rung_rates: Vec<f64>,
-        cold_pace: ColdPace,
+        cold_pace: SlowStart,
         seed: u64,
     ) -> Fleet {
         let node = |spec| Node {
@@ -108,7 +108,7 @@
 
     /// Capacity of the node's link under its current faults, in kB/s.
     fn link_capacity(node: &Node) -> f64 {
-        node.spec.link / node.faults.link_cut.max(1.0)
+        node.spec.link_kb_per_s / node.faults.link_divisor.max(1.0)
     }
 
     /// Adds `by` kB/s to a node's demand and updates the demand on its rack's uplink.
@@ -130,7 +130,7 @@
         let carried_before = node_state.demand.min(Self::link_capacity(node_state));
         change(&mut node_state.faults);
         node_state.frozen_report =
-            node_state.faults.reports_frozen.then(|| node_state.frozen_report.unwrap_or(load));
+            node_state.faults.freeze_load_reports.then(|| node_state.frozen_report.unwrap_or(load));
         let carried_after = node_state.demand.min(Self::link_capacity(node_state));
         if let Some(demand) = self.uplink_demand.get_mut(node_state.spec.rack) {
             *demand += carried_after - carried_before;
@@ -184,23 +184,23 @@
         let rate = self.rung_rate(rung);
         let node_state = &mut self.nodes[node];
         let faults = &node_state.faults;
-        if draw < faults.resets {
+        if draw < faults.reset_fraction {
             return SetupReply::ConnectionReset;
         }
-        if draw < faults.resets + faults.errors {
+        if draw < faults.reset_fraction + faults.error_fraction {
             return SetupReply::ErrorReply;
         }
-        let is_full = node_state.streams.len() >= node_state.spec.places
-            || (node_state.spec.guard && node_state.demand >= Self::link_capacity(node_state));
+        let is_full = node_state.streams.len() >= node_state.spec.max_sessions
+            || (node_state.spec.rejects_when_full && node_state.demand >= Self::link_capacity(node_state));
         if is_full {
             return SetupReply::Full;
         }
-        let mut handled_at = now + faults.delay.as_secs_f64();
-        if faults.queue {
-            handled_at = now.max(node_state.setup_queue_ends) + faults.delay.as_secs_f64();
+        let mut handled_at = now + faults.setup_delay.as_secs_f64();
+        if faults.serialize_setups {
+            handled_at = now.max(node_state.setup_queue_ends) + faults.setup_delay.as_secs_f64();
             node_state.setup_queue_ends = handled_at;
         }
-        let is_reply_lost = faults.answer_lost || faults.hang;
+        let is_reply_lost = faults.drop_setup_responses || faults.hang;
         node_state.streams.insert(key, rate);
         self.adjust_demand(node, rate);
         if is_reply_lost { SetupReply::ReplyLost } else { SetupReply::Accepted { done_at: handled_at } }
@@ -208,9 +208,11 @@
 
     /// Queues the SETUP of a further track of an accepted stream.
     pub fn handle_further_setup(&mut self, now: f64, node: usize) {
-        if let Some(node_state) = self.nodes.get_mut(node).filter(|node_state| node_state.faults.queue) {
+        if let Some(node_state) =
+            self.nodes.get_mut(node).filter(|node_state| node_state.faults.serialize_setups)
+        {
             node_state.setup_queue_ends =
-                now.max(node_state.setup_queue_ends) + node_state.faults.delay.as_secs_f64();
+                now.max(node_state.setup_queue_ends) + node_state.faults.setup_delay.as_secs_f64();
         }
     }
 
@@ -218,17 +220,19 @@
     fn is_overloaded_by_setup(&mut self, now: f64, node: usize) -> bool {
         let cold_pace = self.cold_pace;
         let node_state = &mut self.nodes[node];
-        let warm_fraction = (now - node_state.started_at) / cold_pace.warm_after;
+        let warm_fraction = (now - node_state.started_at) / cold_pace.duration_s;
         if warm_fraction >= 1.0 {
             return false;
         }
-        while node_state.recent_setups.front().is_some_and(|&then| now - then > cold_pace.span) {
+        while node_state.recent_setups.front().is_some_and(|&then| now - then > cold_pace.overload_window_s) {
             node_state.recent_setups.pop_front();
         }
         node_state.recent_setups.push_back(now);
-        let warm_pace = node_state.spec.places as f64 / cold_pace.warm_after;
-        let current_pace = warm_pace * (cold_pace.from + (1.0 - cold_pace.from) * warm_fraction);
-        node_state.recent_setups.len() as f64 > cold_pace.multiple * current_pace * cold_pace.span + 1.0
+        let warm_pace = node_state.spec.max_sessions as f64 / cold_pace.duration_s;
+        let current_pace =
+            warm_pace * (cold_pace.initial_fraction + (1.0 - cold_pace.initial_fraction) * warm_fraction);
+        node_state.recent_setups.len() as f64
+            > cold_pace.overload_multiple * current_pace * cold_pace.overload_window_s + 1.0
     }
 
     /// Ends a stream; false if the node doesn't have it.
--- a/crates/lab/src/fault_search.rs
+++ b/crates/lab/src/fault_search.rs
@@ -41,7 +41,7 @@
         println!(
             "seed {seed}: {}  service {:.3}  {}",
             reason.as_deref().unwrap_or("held"),
-            played.verdict.service,
+            played.verdict.service_level,
             faults.join(" ")
         );
         if reason.is_some() {
@@ -57,9 +57,9 @@
 
 /// The reason why a run failed, if it did.
 fn failure(played: &PlayResult) -> Option<String> {
-    let broken = played.verdict.findings.iter().find(|finding| !finding.broken.is_empty());
+    let broken = played.verdict.findings.iter().find(|finding| !finding.violations.is_empty());
     if let Some(finding) = broken {
-        return Some(format!("rule {} BROKEN: {}", finding.rule, finding.broken[0].what));
+        return Some(format!("rule {} BROKEN: {}", finding.rule, finding.violations[0].description));
     }
     (played.orphans > 0).then(|| format!("{} sessions left at nodes", played.orphans))
 }
--- a/crates/lab/src/lists.rs
+++ b/crates/lab/src/lists.rs
@@ -5,14 +5,14 @@
 
 use ashglade::time::Instant;
 use ashglade_discovery::{NodeEntry, NodeList, NodeState};
-use ashglade_judge::What;
+use ashglade_judge::EventKind;
 use ashglade_settings::{Names, write_boxes};
-use ashglade_standin::Log;
+use ashglade_standin::TrafficRecorder;
 
 /// The node lists of all directors.
 pub struct NodeLists {
     names: Names,
-    log: Log,
+    log: TrafficRecorder,
     /// By director: its file, and the list as last written.
     files: Mutex<Vec<(PathBuf, NodeList)>>,
     /// Current extra delay of list updates, in seconds.
@@ -21,7 +21,11 @@
 
 impl NodeLists {
     /// `of` holds, by director, its folder and the nodes with the addresses at which it reaches them.
-    pub fn new(names: Names, log: Log, folders_and_nodes: Vec<(PathBuf, Vec<NodeEntry>)>) -> NodeLists {
+    pub fn new(
+        names: Names,
+        log: TrafficRecorder,
+        folders_and_nodes: Vec<(PathBuf, Vec<NodeEntry>)>,
+    ) -> NodeLists {
         let list = |entries| NodeList { generation: 1, entries };
         let files = folders_and_nodes
             .into_iter()
@@ -59,7 +63,7 @@
             list.generation += 1;
             replace_file(path, &write_boxes(list, &self.names))?;
             let (director, ready) = (director as u16, state == NodeState::Ready);
-            self.log.saw(What::Listed { director, node, ready });
+            self.log.record(EventKind::NodeListed { director, node, ready });
         }
         Ok(())
     }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -210,9 +210,9 @@
          at nodes, {:.1} s held by nobody; directors {}\nset-ups {}\nmemory  {}\n",
         played.verdict,
         load(&media.packets),
-        load(&media.foreign),
-        load(&media.backward),
-        load(&media.breaks),
+        load(&media.ssrc_changes),
+        load(&media.sequence_regressions),
+        load(&media.failed_attempts),
         load(&media.segments),
         load(&media.stalled_ms) as f64 / 1e3,
         played.orphans,
@@ -227,8 +227,8 @@
     print!("{report}");
     let path = out.join("report.txt");
     std::fs::write(&path, &report).map_err(|e| format!("{}: {e}", path.display()))?;
-    let continuous = load(&media.foreign) == 0 && load(&media.backward) == 0;
-    Ok(played.verdict.held()
+    let continuous = load(&media.ssrc_changes) == 0 && load(&media.sequence_regressions) == 0;
+    Ok(played.verdict.passed()
         && played.orphans == 0
         && played.clean_exit
         && continuous
@@ -339,8 +339,9 @@
 /// Judges a file of recorded traffic and prints the verdict; true if all rules held.
 fn judge_file(path: &std::path::Path) -> Result<bool, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    let traffic = ashglade_judge::Traffic::read(&text).map_err(|e| format!("{}: {e}", path.display()))?;
-    let verdict = ashglade_judge::judge(&traffic);
+    let traffic =
+        ashglade_judge::TrafficRecord::parse(&text).map_err(|e| format!("{}: {e}", path.display()))?;
+    let verdict = ashglade_judge::check_rules(&traffic);
     print!("{verdict}");
-    Ok(verdict.held())
+    Ok(verdict.passed())
 }
--- a/crates/lab/src/matrix.rs
+++ b/crates/lab/src/matrix.rs
@@ -91,7 +91,7 @@
     let mut cells = Vec::new();
     while let Some(result) = running.join_next().await {
         let (order, name, result) = result.map_err(|e| e.to_string())??;
-        let passed = result.verdict.held() && result.orphans == 0;
+        let passed = result.verdict.passed() && result.orphans == 0;
         let rule_counts = |rule: usize| result.verdict.findings.get(rule).map_or("", |f| f.counts.as_str());
         let counts = format!("{}; {}", rule_counts(0), rule_counts(1));
         cells.push((order, MatrixCell { name, passed, counts }));
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -8,8 +8,8 @@
 
 use ashglade_rtsp::messages::{self, Channels};
 use ashglade_rtsp::{Codec, Packet, Response};
-use ashglade_standin::node::ColdPace;
-use ashglade_standin::{Fleet, Spec};
+use ashglade_standin::node::SlowStart;
+use ashglade_standin::{Fleet, NodeSpec};
 use bytes::{BufMut, BytesMut};
 use futures_util::{SinkExt, StreamExt};
 use hdrhistogram::Histogram;
@@ -237,7 +237,7 @@
     pub fleet: Arc<Fleet>,
     /// Folders of the directors, entries of the node list, and the names in the settings.
     lists: (Vec<std::path::PathBuf>, Vec<ashglade_discovery::NodeEntry>, ashglade_settings::Names),
-    log: ashglade_standin::Log,
+    log: ashglade_standin::TrafficRecorder,
 }
 
 /// Starts the test bed with its files in `out`.
@@ -261,8 +261,19 @@
     let path = directors.settings(0).ok_or("the day has no directors")?;
     let settings = std::fs::read_to_string(&path).map_err(|e| e.to_string())?;
     let settings = ashglade_settings::settings("settings", &settings).map_err(|e| e.to_string())?;
-    let spec = |i| Spec { name: format!("node-{i}"), rack: 0, places: 100_000, link: 1e9, guard: false };
-    let cold_pace = ColdPace { from: 1.0, warm_after: 0.001, multiple: 1e9, span: 1.0 };
+    let spec = |i| NodeSpec {
+        name: format!("node-{i}"),
+        rack: 0,
+        max_sessions: 100_000,
+        link_kb_per_s: 1e9,
+        rejects_when_full: false,
+    };
+    let cold_pace = SlowStart {
+        initial_fraction: 1.0,
+        duration_s: 0.001,
+        overload_multiple: 1e9,
+        overload_window_s: 1.0,
+    };
     let fleet = Fleet::start(
         (0..12).map(spec).collect(),
         vec![f64::INFINITY],
@@ -279,7 +290,7 @@
         .zip(entries)
         .map(|(node, entry)| ashglade_discovery::NodeEntry {
             address: node.address,
-            http_address: Some(node.http),
+            http_address: Some(node.http_address),
             ..entry
         })
         .collect();
--- a/crates/lab/src/measure_hls.rs
+++ b/crates/lab/src/measure_hls.rs
@@ -8,7 +8,7 @@
 use ashglade::ids::{GroupId, SessionId, TitleId};
 use ashglade_hls::playlist::{self, Place};
 use ashglade_hls::{Ask, Key, Keys, Token};
-use ashglade_standin::hls_player::{Http, uris};
+use ashglade_standin::hls_player::{HttpClient, uris};
 use hdrhistogram::Histogram;
 use hyper::StatusCode;
 use rtsp_types::Url;
@@ -102,8 +102,8 @@
     director: SocketAddr,
     number: usize,
     sessions: usize,
-) -> Result<(Http, Vec<String>, Histogram<u64>), String> {
-    let mut http = Http::open(director).await.ok_or("the director can't be reached")?;
+) -> Result<(HttpClient, Vec<String>, Histogram<u64>), String> {
+    let mut http = HttpClient::connect(director).await.ok_or("the director can't be reached")?;
     let (mut playlists, mut times) = (Vec::new(), histogram());
     for i in 0..sessions {
         let start = Instant::now();
@@ -123,7 +123,7 @@
 /// Requests the playlists in a cycle until `until`. Returns the times in microseconds and the other status
 /// codes.
 async fn reload_sessions(
-    mut http: Http,
+    mut http: HttpClient,
     playlists: Vec<String>,
     until: Instant,
 ) -> (Histogram<u64>, Vec<u16>) {
--- a/crates/lab/src/net/classify.rs
+++ b/crates/lab/src/net/classify.rs
@@ -1,6 +1,6 @@
 //! Classification of the messages that pass through the relays.
 
-use ashglade_judge::What;
+use ashglade_judge::EventKind;
 use ashglade_peer_transport::codec::Datagram;
 use ashglade_shared::permits::{Permit, PermitMessage};
 use ashglade_shared::{MessageBody, gossip::GossipMessage};
@@ -36,31 +36,36 @@
 }
 
 /// The traffic event that the judge gets for a datagram, if any.
-pub fn judge_event(datagram: &Datagram, passed: bool) -> Option<What> {
+pub fn judge_event(datagram: &Datagram, passed: bool) -> Option<EventKind> {
     let (from, to) = (datagram.message.from, datagram.message.to);
     let pool_and_number =
         |permits: &[Permit]| permits.iter().map(|permit| (permit.pool, permit.number)).collect();
     match &datagram.message.body {
         MessageBody::Permits(PermitMessage::Request { process_id, round, .. }) => {
-            Some(What::RightsAsked { holder: from, voter: to, process: *process_id, ask: *round })
+            Some(EventKind::PermitsRequested {
+                holder: from,
+                voter: to,
+                process_id: *process_id,
+                round: *round,
+            })
         }
         MessageBody::Permits(PermitMessage::Grant { process_id, round, permits, .. }) => {
-            Some(What::RightsGranted {
-                passed,
+            Some(EventKind::PermitsGranted {
+                delivered: passed,
                 voter: from,
                 holder: to,
-                process: *process_id,
-                ask: *round,
-                rights: pool_and_number(permits),
+                process_id: *process_id,
+                round: *round,
+                permits: pool_and_number(permits),
             })
         }
         MessageBody::Permits(PermitMessage::Release { process_id, round, permits }) => {
-            Some(What::RightsBack {
+            Some(EventKind::PermitsReleased {
                 holder: from,
                 voter: to,
-                process: *process_id,
-                ask: *round,
-                rights: pool_and_number(permits),
+                process_id: *process_id,
+                round: *round,
+                permits: pool_and_number(permits),
             })
         }
         MessageBody::Gossip(_) => None,
--- a/crates/lab/src/net/mod.rs
+++ b/crates/lab/src/net/mod.rs
@@ -11,9 +11,9 @@
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock};
 use std::time::Duration;
 
-use ashglade_judge::What;
+use ashglade_judge::EventKind;
 use ashglade_peer_transport::codec::Codec;
-use ashglade_standin::Log;
+use ashglade_standin::TrafficRecorder;
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::watch;
 use tokio::time::Instant;
@@ -145,7 +145,7 @@
     state: Mutex<State>,
     /// Signals each change of the active faults.
     changed: watch::Sender<u64>,
-    log: Log,
+    log: TrafficRecorder,
     /// Decodes datagrams between directors; `None` without a secret.
     codec: Option<Codec>,
     directors: OnceLock<Arc<Directors>>,
@@ -171,7 +171,7 @@
         faults: &[Fault],
         parties: &Parties,
         (seed, secret, record): (u64, Option<&str>, bool),
-        log: Log,
+        log: TrafficRecorder,
     ) -> std::io::Result<Arc<Network>> {
         let count = usize::from(parties.directors);
         let mut peer_relays = Vec::new();
@@ -384,7 +384,7 @@
             })
             .collect();
         let Some(all_directors) = self.directors.get().cloned() else { return };
-        let from = self.log.now();
+        let from = self.log.now_ms();
         for &director in &directors {
             match fault.kind {
                 FaultKind::Kill => all_directors.kill(director).await,
@@ -436,7 +436,7 @@
             if one.contains(&Party::Viewers) {
                 for party in other {
                     if let Party::Director(director) = *party {
-                        self.log.saw(What::DirectorStood { director, from });
+                        self.log.record(EventKind::DirectorPaused { director, from });
                     }
                 }
             }
--- a/crates/lab/src/net/tcp.rs
+++ b/crates/lab/src/net/tcp.rs
@@ -6,7 +6,7 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use ashglade_judge::What;
+use ashglade_judge::EventKind;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
@@ -192,6 +192,6 @@
     if let (Party::Director(_), Party::Node(node), Some((viewer, attempt)), false) =
         (from, to, in_flight.viewer, in_flight.replied)
     {
-        net.log.saw(What::Withdrawn { node: format!("node-{node}"), viewer, again: attempt });
+        net.log.record(EventKind::SetupCancelled { node: format!("node-{node}"), viewer, attempt });
     }
 }
--- a/crates/lab/src/net/udp.rs
+++ b/crates/lab/src/net/udp.rs
@@ -31,7 +31,7 @@
         let delivered = !link.cut && (link.loss <= 0.0 || net.random_fraction() >= link.loss);
         if let Some(event) = datagram.as_ref().and_then(|datagram| classify::judge_event(datagram, delivered))
         {
-            net.log.saw(event);
+            net.log.record(event);
         }
         if !delivered {
             continue;
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -8,11 +8,11 @@
 use ashglade::ids::{CellId, ModelId, ZoneId};
 use ashglade::interface::NodeInfo;
 use ashglade_discovery::{NodeEntry, NodeState};
-use ashglade_judge::{self as judge, Plan, Traffic, Verdict, What};
+use ashglade_judge::{self as judge, EventKind, RulesConfig, RulesReport, TrafficRecord};
 use ashglade_settings::Settings;
-use ashglade_standin::node::ColdPace;
-use ashglade_standin::viewer::{self, Media, Script};
-use ashglade_standin::{Fleet, Log, Spec};
+use ashglade_standin::node::SlowStart;
+use ashglade_standin::viewer::{self, MediaCounters, ViewerScript};
+use ashglade_standin::{Fleet, NodeSpec, TrafficRecorder};
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
@@ -26,9 +26,9 @@
 /// The result of a day.
 pub struct PlayResult {
     /// The judge's verdict on the recorded traffic.
-    pub verdict: Verdict,
+    pub verdict: RulesReport,
     /// Counters of the media that viewers received.
-    pub media: Arc<Media>,
+    pub media: Arc<MediaCounters>,
     /// Number of sessions that nodes still held after all viewers and directors had ended.
     pub orphans: usize,
     /// Total time for which nodes held sessions without an owner, in seconds.
@@ -48,7 +48,7 @@
     pub fleet: Arc<Fleet>,
     pub directors: Arc<Directors>,
     pub lists: NodeLists,
-    pub log: Log,
+    pub log: TrafficRecorder,
     /// Delay after which the node lists show an announced change.
     pub notice: Duration,
     /// Delay after which the node lists show a process that ended without notice.
@@ -84,7 +84,7 @@
     drop(prepared);
     let plan = judge_plan(day, &settings);
     let traffic = out.join("traffic.jsonl");
-    let log = Log::create(&traffic, &plan).map_err(|e| format!("{}: {e}", traffic.display()))?;
+    let log = TrafficRecorder::create(&traffic, &plan).map_err(|e| format!("{}: {e}", traffic.display()))?;
 
     let (specs, entries) = nodes(day, &settings);
     let (uplinks, rung_rates, cold_pace) = shared_node_settings(&settings);
@@ -93,7 +93,7 @@
     let fleet = fleet.map_err(|e| format!("starting the nodes' listeners: {e}"))?;
     let entries = fleet.nodes.iter().zip(entries).map(|(node, entry)| NodeEntry {
         address: node.address,
-        http_address: Some(node.http),
+        http_address: Some(node.http_address),
         ..entry
     });
     let entries: Vec<NodeEntry> = entries.collect();
@@ -152,7 +152,7 @@
     if let Some(net) = &net {
         net.start_faults(context.directors.clone(), &day.fault, day_start);
     }
-    let media = Arc::new(Media::default());
+    let media = Arc::new(MediaCounters::default());
     let mut troubles = JoinSet::new();
     for trouble in &day.trouble {
         troubles.spawn(trouble::run(context.clone(), trouble.clone(), day_start, record));
@@ -184,10 +184,10 @@
     let drain_timeout = settings.front.drain + Duration::from_secs(2);
     let clean_exit = context.directors.stop(drain_timeout).await;
     let orphans = wait_for_sessions_to_end(&context.fleet).await;
-    let orphaned_s = context.fleet.nodes.iter().map(|node| node.orphaned().as_secs_f64()).sum();
+    let orphaned_s = context.fleet.nodes.iter().map(|node| node.orphaned_time().as_secs_f64()).sum();
     let mut plan = plan;
-    if let Some(shared) = &mut plan.shared {
-        shared.stalled = stall_monitor.longest_ms();
+    if let Some(shared) = &mut plan.fleet_limits {
+        shared.longest_stall = stall_monitor.longest_ms();
     }
     let verdict = judge_log(&plan, &log);
     if !quiet {
@@ -246,14 +246,14 @@
 }
 
 /// Summary of the times from SETUP to 200.
-fn setup_time_summary(log: &Log) -> String {
-    let mut requested_at = std::collections::HashMap::new();
+fn setup_time_summary(log: &TrafficRecorder) -> String {
+    let mut sent = std::collections::HashMap::new();
     let mut times = hdrhistogram::Histogram::<u64>::new(3).ok();
-    for entry in log.sights() {
-        match entry.what {
-            What::Asked { viewer, again, .. } => drop(requested_at.insert((viewer, again), entry.at)),
-            What::Answered { viewer, again, status: 200 } => {
-                if let (Some(at), Some(times)) = (requested_at.remove(&(viewer, again)), &mut times) {
+    for entry in log.events() {
+        match entry.kind {
+            EventKind::RequestSent { viewer, attempt, .. } => drop(sent.insert((viewer, attempt), entry.at)),
+            EventKind::ResponseReceived { viewer, attempt, status: 200 } => {
+                if let (Some(at), Some(times)) = (sent.remove(&(viewer, attempt)), &mut times) {
                     let _ = times.record(((entry.at - at) * 1e3).max(0.0) as u64);
                 }
             }
@@ -275,7 +275,7 @@
 
 /// Waits up to 7 s for the nodes to end all sessions and returns the number of sessions left.
 async fn wait_for_sessions_to_end(fleet: &Fleet) -> usize {
-    let held_sessions = || fleet.nodes.iter().map(|node| node.held()).sum::<usize>();
+    let held_sessions = || fleet.nodes.iter().map(|node| node.session_count()).sum::<usize>();
     // HLS sessions end by an idle timeout.
     for _ in 0..280 {
         if held_sessions() == 0 {
@@ -286,50 +286,50 @@
     held_sessions()
 }
 
-fn progress(at: Duration, verdict: &Verdict, present: usize) {
+fn progress(at: Duration, verdict: &RulesReport, present: usize) {
     let counts = verdict.findings.first().map_or("", |f| f.counts.as_str());
     println!("{:5.1} s  {present} viewers present; {counts}", at.as_secs_f64());
 }
 
-fn judge_log(plan: &Plan, log: &Log) -> Verdict {
-    let mut sights = log.sights();
-    sights.sort_by(|a, b| a.at.total_cmp(&b.at));
-    judge::judge(&Traffic { plan: plan.clone(), sights })
+fn judge_log(plan: &RulesConfig, log: &TrafficRecorder) -> RulesReport {
+    let mut events = log.events();
+    events.sort_by(|a, b| a.at.total_cmp(&b.at));
+    judge::check_rules(&TrafficRecord { config: plan.clone(), events })
 }
 
 /// A log for runs whose traffic is not judged.
-pub fn unjudged_log(out: &Path) -> Result<Log, String> {
-    let empty = Plan {
+pub fn unjudged_log(out: &Path) -> Result<TrafficRecorder, String> {
+    let empty = RulesConfig {
         groups: Vec::new(),
         nodes: Vec::new(),
         drain_grace: 0.0,
-        cold_from: 0.0,
-        warm_after: 0.0,
-        fall_multiple: 0.0,
-        fall_span: 0.0,
-        ration: None,
-        slack: 0.0,
-        shared: None,
+        slow_start_initial_fraction: 0.0,
+        slow_start_duration: 0.0,
+        overload_multiple: 0.0,
+        overload_window: 0.0,
+        retry_budget: None,
+        timing_tolerance: 0.0,
+        fleet_limits: None,
     };
-    Log::create(&out.join("traffic.jsonl"), &empty).map_err(|e| e.to_string())
+    TrafficRecorder::create(&out.join("traffic.jsonl"), &empty).map_err(|e| e.to_string())
 }
 
 /// Settings that all nodes share: uplink capacity of each rack and rate of each rung in kB/s, and the cold
 /// start.
-pub fn shared_node_settings(settings: &Settings) -> (Vec<f64>, Vec<f64>, ColdPace) {
+pub fn shared_node_settings(settings: &Settings) -> (Vec<f64>, Vec<f64>, SlowStart) {
     let config = &settings.headend;
     let uplink = if config.uplink_kb_per_s > 0.0 { config.uplink_kb_per_s } else { f64::INFINITY };
-    let cold_pace = ColdPace {
-        from: config.slow_start_initial_fraction,
-        warm_after: config.slow_start_duration.as_ms() / 1e3,
-        multiple: config.overload_multiple,
-        span: config.overload_window.as_ms() / 1e3,
+    let cold_pace = SlowStart {
+        initial_fraction: config.slow_start_initial_fraction,
+        duration_s: config.slow_start_duration.as_ms() / 1e3,
+        overload_multiple: config.overload_multiple,
+        overload_window_s: config.overload_window.as_ms() / 1e3,
     };
     (vec![uplink; config.rack_count.into()], config.ladder.iter().map(|&(kb, _)| kb).collect(), cold_pace)
 }
 
 /// The nodes of a day, spread round-robin over zones and cells.
-pub fn nodes(day: &Day, settings: &Settings) -> (Vec<Spec>, Vec<NodeEntry>) {
+pub fn nodes(day: &Day, settings: &Settings) -> (Vec<NodeSpec>, Vec<NodeEntry>) {
     let config = &settings.headend;
     let (mut specs, mut entries) = (Vec::new(), Vec::new());
     for nodes_of_kind in &day.nodes {
@@ -340,12 +340,12 @@
             let cell = (i % usize::from(config.cell_count)) as u16;
             let weight = nodes_of_kind.weight.unwrap_or(1.0);
             let name = format!("node-{i}");
-            specs.push(Spec {
+            specs.push(NodeSpec {
                 name: name.clone(),
                 rack: usize::from(cell) % usize::from(config.rack_count),
-                places: config.max_streams.get(model).map_or(1, |&p| p as usize),
-                link: weight * config.link_kb_per_s_per_weight,
-                guard: nodes_of_kind.guard.unwrap_or(false),
+                max_sessions: config.max_streams.get(model).map_or(1, |&p| p as usize),
+                link_kb_per_s: weight * config.link_kb_per_s_per_weight,
+                rejects_when_full: nodes_of_kind.guard.unwrap_or(false),
             });
             let zone = ZoneId((i % settings.names.zones.len()) as u8);
             let node_info =
@@ -365,64 +365,64 @@
 }
 
 /// The plan from which the judge checks the day's traffic.
-fn judge_plan(day: &Day, settings: &Settings) -> Plan {
+fn judge_plan(day: &Day, settings: &Settings) -> RulesConfig {
     use ashglade::interface::{RetrySafety, RetryScope};
     let config = &settings.headend;
-    let groups = config.groups.iter().zip(&settings.group_names).map(|(group, name)| judge::Group {
+    let groups = config.groups.iter().zip(&settings.group_names).map(|(group, name)| judge::ServiceGroup {
         name: name.clone(),
         utility: group.utility,
         start_target: group.start_target.as_ms(),
-        care: match group.retry_safety {
-            RetrySafety::Safe => judge::Care::Safe,
-            RetrySafety::Dedup => judge::Care::Dedup,
-            RetrySafety::Fragile => judge::Care::Fragile,
+        retry_safety: match group.retry_safety {
+            RetrySafety::Safe => judge::RetrySafety::Safe,
+            RetrySafety::Dedup => judge::RetrySafety::Dedup,
+            RetrySafety::Fragile => judge::RetrySafety::Fragile,
         },
-        reach: match group.retry_scope {
-            RetryScope::Anywhere => judge::Reach::Anywhere,
-            RetryScope::SameZone => judge::Reach::SameZone,
-            RetryScope::SameCell => judge::Reach::SameCell,
+        retry_scope: match group.retry_scope {
+            RetryScope::Anywhere => judge::RetryScope::Anywhere,
+            RetryScope::SameZone => judge::RetryScope::SameZone,
+            RetryScope::SameCell => judge::RetryScope::SameCell,
         },
-        repeat_window: group.retry_window.as_ms(),
-        floor: group.floor_rung.0,
+        retry_window: group.retry_window.as_ms(),
+        floor_rung: group.floor_rung.0,
         seats: group.seats,
     });
     let (specs, entries) = nodes(day, settings);
-    let nodes = specs.iter().zip(&entries).map(|(spec, entry)| judge::Node {
+    let nodes = specs.iter().zip(&entries).map(|(spec, entry)| judge::MediaNode {
         name: spec.name.clone(),
-        places: spec.places as f64,
+        max_sessions: spec.max_sessions as f64,
         zone: entry.info.zone.0,
         cell: entry.info.cell.0,
     });
-    Plan {
+    RulesConfig {
         groups: groups.collect(),
         nodes: nodes.collect(),
         drain_grace: day.drain_grace_ms.unwrap_or(0.0),
-        cold_from: config.slow_start_initial_fraction,
-        warm_after: config.slow_start_duration.as_ms(),
-        fall_multiple: config.overload_multiple,
-        fall_span: config.overload_window.as_ms(),
-        ration: config.retry_budget.map(|r| (r.base_retries, r.retries_per_session, r.window.as_ms())),
-        slack: day.slack_ms.unwrap_or(60.0),
-        shared: shared_plan(settings),
+        slow_start_initial_fraction: config.slow_start_initial_fraction,
+        slow_start_duration: config.slow_start_duration.as_ms(),
+        overload_multiple: config.overload_multiple,
+        overload_window: config.overload_window.as_ms(),
+        retry_budget: config.retry_budget.map(|r| (r.base_retries, r.retries_per_session, r.window.as_ms())),
+        timing_tolerance: day.slack_ms.unwrap_or(60.0),
+        fleet_limits: shared_plan(settings),
     }
 }
 
 /// Settings of the state that directors share, for the judge; `None` if they share none.
-fn shared_plan(settings: &Settings) -> Option<judge::Shared> {
+fn shared_plan(settings: &Settings) -> Option<judge::FleetLimits> {
     let fleet_config = ashglade_peer_transport::fleet_config(settings)?;
     let voters = |home| fleet_config.voters(home).into_iter().map(|director| director as u16).collect();
     let repeats = settings.talk.as_ref()?.share.as_ref()?.repeats;
-    Some(judge::Shared {
+    Some(judge::FleetLimits {
         lease: fleet_config.lease.as_ms(),
-        drift: fleet_config.max_clock_drift,
-        rest: fleet_config.guard_interval.as_ms(),
-        under_way: ashglade_peer_transport::max_send_delay(settings).as_ms(),
-        stalled: 0.0,
-        councils: (0..fleet_config.director_count()).map(voters).collect(),
-        repeats: repeats.map(|repeats| judge::Repeats {
-            at_node: repeats.at_node,
-            kept: repeats.kept,
-            span: repeats.span.as_ms(),
+        max_clock_drift: fleet_config.max_clock_drift,
+        guard_interval: fleet_config.guard_interval.as_ms(),
+        max_send_delay: ashglade_peer_transport::max_send_delay(settings).as_ms(),
+        longest_stall: 0.0,
+        voters: (0..fleet_config.director_count()).map(voters).collect(),
+        retry_limit: repeats.map(|repeats| judge::RetryLimit {
+            max_per_node: repeats.at_node,
+            max_without_permit: repeats.kept,
+            window: repeats.span.as_ms(),
             pool: ashglade_peer_transport::RETRY_POOL as u8,
         }),
     })
@@ -444,25 +444,25 @@
     headend: &ashglade_settings::schema::headend::Headend,
     directors: &Directors,
     director_addresses: &[(u16, SocketAddr)],
-) -> Vec<(Duration, Script)> {
+) -> Vec<(Duration, ViewerScript)> {
     let titles: Vec<&String> = headend.title.iter().filter_map(|t| t.name.as_ref()).collect();
     let script = |(id, arrival): (u64, Arrival)| {
         let title = titles.get(arrival.title).map_or_else(String::new, |title| title.to_string());
         let addresses = arrival.directors.iter().filter_map(|&d| director_addresses.get(usize::from(d)));
         let http = || arrival.directors.iter().map(|&d| (d, directors.hls_address(d))).collect();
-        let script = Script {
+        let script = ViewerScript {
             id,
             directors: addresses.copied().collect(),
-            hls: arrival.uses_hls.then(http),
+            hls_directors: arrival.uses_hls.then(http),
             group: settings.group_names[arrival.group].clone(),
             tracks: settings.titles.get(&title).map_or(1, |t| t.tracks),
             title,
-            top: arrival.top_rung,
+            top_rung: arrival.top_rung,
             setup_timeout: Duration::from_secs_f64(settings.setup_timeouts[arrival.group].as_ms() / 1e3),
-            watch: Duration::from_secs_f64(arrival.watch_s),
-            leaves_after: arrival.leaves_after_s.map(Duration::from_secs_f64),
-            returns: arrival.max_retries,
-            rejoin: Duration::from_secs_f64(arrival.retry_delay_s),
+            watch_duration: Duration::from_secs_f64(arrival.watch_s),
+            abandon_after: arrival.leaves_after_s.map(Duration::from_secs_f64),
+            max_retries: arrival.max_retries,
+            retry_delay: Duration::from_secs_f64(arrival.retry_delay_s),
         };
         (Duration::from_secs_f64(arrival.at_s), script)
     };
--- a/crates/lab/src/trouble.rs
+++ b/crates/lab/src/trouble.rs
@@ -37,15 +37,15 @@
         false => trouble.on.iter().map(|&i| i as usize).collect(),
     };
     let change_faults = |change: fn(&mut Faults, f64), size: f64| {
-        targets.iter().for_each(|&i| context.fleet.set(i, |faults| change(faults, size)));
+        targets.iter().for_each(|&i| context.fleet.update_faults(i, |faults| change(faults, size)));
     };
     match kind {
         // Bursts are part of the drawn arrivals.
         TroubleKind::Unset | TroubleKind::Burst => {}
         TroubleKind::AnswerLost => {
-            change_faults(|faults, _| faults.answer_lost = true, size);
+            change_faults(|faults, _| faults.drop_setup_responses = true, size);
             tokio::time::sleep(span).await;
-            change_faults(|faults, _| faults.answer_lost = false, size);
+            change_faults(|faults, _| faults.drop_setup_responses = false, size);
         }
         TroubleKind::Hang => {
             change_faults(|faults, _| faults.hang = true, size);
@@ -53,48 +53,53 @@
             change_faults(|faults, _| faults.hang = false, size);
         }
         TroubleKind::FastErrors => {
-            change_faults(|faults, size| faults.errors = size, size);
+            change_faults(|faults, size| faults.error_fraction = size, size);
             tokio::time::sleep(span).await;
-            change_faults(|faults, _| faults.errors = 0.0, size);
+            change_faults(|faults, _| faults.error_fraction = 0.0, size);
         }
         TroubleKind::Reset => {
-            change_faults(|faults, size| faults.resets = size, size);
+            change_faults(|faults, size| faults.reset_fraction = size, size);
             tokio::time::sleep(span).await;
-            change_faults(|faults, _| faults.resets = 0.0, size);
+            change_faults(|faults, _| faults.reset_fraction = 0.0, size);
         }
         TroubleKind::Slow | TroubleKind::Neighbour => {
-            change_faults(|faults, size| faults.link_cut = size, size);
+            change_faults(|faults, size| faults.link_divisor = size, size);
             tokio::time::sleep(span).await;
-            change_faults(|faults, _| faults.link_cut = 1.0, size);
+            change_faults(|faults, _| faults.link_divisor = 1.0, size);
         }
         TroubleKind::ReportLate => {
-            change_faults(|faults, _| faults.reports_frozen = true, size);
+            change_faults(|faults, _| faults.freeze_load_reports = true, size);
             tokio::time::sleep(span).await;
-            change_faults(|faults, _| faults.reports_frozen = false, size);
+            change_faults(|faults, _| faults.freeze_load_reports = false, size);
         }
         TroubleKind::SlowSetup => {
-            change_faults(|faults, size| faults.delay = Duration::from_secs_f64(size / 1e3), size);
+            change_faults(|faults, size| faults.setup_delay = Duration::from_secs_f64(size / 1e3), size);
             tokio::time::sleep(span).await;
-            change_faults(|faults, _| faults.delay = Duration::ZERO, size);
+            change_faults(|faults, _| faults.setup_delay = Duration::ZERO, size);
         }
         TroubleKind::SetupQueue => {
             let size = size / 1e3;
             change_faults(
-                |faults, size| (faults.queue, faults.delay) = (true, Duration::from_secs_f64(size)),
+                |faults, size| {
+                    (faults.serialize_setups, faults.setup_delay) = (true, Duration::from_secs_f64(size))
+                },
                 size,
             );
             tokio::time::sleep(span).await;
-            change_faults(|faults, _| (faults.queue, faults.delay) = (false, Duration::ZERO), size);
+            change_faults(
+                |faults, _| (faults.serialize_setups, faults.setup_delay) = (false, Duration::ZERO),
+                size,
+            );
         }
         TroubleKind::Keeps => {
-            change_faults(|faults, size| faults.keeps = Duration::from_secs_f64(size), size);
+            change_faults(|faults, size| faults.orphan_retention = Duration::from_secs_f64(size), size);
             tokio::time::sleep(span).await;
-            change_faults(|faults, _| faults.keeps = Duration::ZERO, size);
+            change_faults(|faults, _| faults.orphan_retention = Duration::ZERO, size);
         }
         TroubleKind::OriginSlow => {
-            targets.iter().for_each(|&rack| context.fleet.cut_uplink(rack, size));
+            targets.iter().for_each(|&rack| context.fleet.set_uplink_divisor(rack, size));
             tokio::time::sleep(span).await;
-            targets.iter().for_each(|&rack| context.fleet.cut_uplink(rack, 1.0));
+            targets.iter().for_each(|&rack| context.fleet.set_uplink_divisor(rack, 1.0));
         }
         TroubleKind::DiscoveryStale => {
             context.lists.set_extra_delay(size);
@@ -104,7 +109,7 @@
         TroubleKind::Ageing => {
             for step in 1..=10 {
                 change_faults(
-                    |faults, size| faults.delay = Duration::from_secs_f64(size / 1e3),
+                    |faults, size| faults.setup_delay = Duration::from_secs_f64(size / 1e3),
                     size * f64::from(step) / 10.0,
                 );
                 tokio::time::sleep(span / 10).await;
@@ -135,7 +140,7 @@
             }
         }
         TroubleKind::BalancerStall => {
-            let from = context.log.now();
+            let from = context.log.now_ms();
             targets.iter().for_each(|&i| context.directors.pause(i as u16));
             tokio::time::sleep(span).await;
             targets.iter().for_each(|&i| context.directors.resume(i as u16, from));
@@ -171,7 +176,7 @@
         }
     }
     tokio::time::sleep(span).await;
-    let started_ms = context.log.now();
+    let started_ms = context.log.now_ms();
     for &i in targets {
         context.fleet.restart(i).map_err(|e| format!("cannot restart node {i}: {e}"))?;
     }
--- a/crates/standin/src/connection.rs
+++ b/crates/standin/src/connection.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use ashglade_judge::What;
+use ashglade_judge::EventKind;
 use ashglade_rtsp::messages::{self, Channels};
 use ashglade_rtsp::presentation::{self, rung_of};
 use ashglade_rtsp::{Codec, Packet, Request, Response, load};
@@ -142,11 +142,18 @@
         }
         self.number = self.node.next_connection();
         if let Some(url) = request.request_uri()
-            && let Some((viewer, again)) = viewer_of(url)
+            && let Some((viewer, attempt)) = viewer_of(url)
         {
             let title = url.path().trim_start_matches('/').split('/').next().unwrap_or_default().to_string();
             let (node, connection, rung) = (self.node_name(), self.number, rung_of(url).unwrap_or(0));
-            self.node.recorder.saw(What::Setup { node, connection, viewer, again, title, rung });
+            self.node.recorder.record(EventKind::SetupReceived {
+                node,
+                connection,
+                viewer,
+                attempt,
+                title,
+                rung,
+            });
         }
         self.session = Some(format!("{}", self.number));
         self.answered = false;
@@ -156,7 +163,7 @@
     fn record_response(&mut self, response: &Response) {
         if response.header(&headers::SESSION).is_some() && !std::mem::replace(&mut self.answered, true) {
             let status = u16::from(response.status());
-            self.node.recorder.saw(What::SetupAnswered {
+            self.node.recorder.record(EventKind::SetupResponseSent {
                 node: self.node_name(),
                 connection: self.number,
                 status,
@@ -169,14 +176,16 @@
     fn close_session(&mut self, torn_down: bool) {
         let mut state = self.node.state();
         let held = state.streams.keys().any(|(session, _)| *session == self.number);
-        if held && !torn_down && !state.faults.keeps.is_zero() {
+        if held && !torn_down && !state.faults.orphan_retention.is_zero() {
             state.orphans.insert(self.number, Instant::now());
         } else {
             state.end_session(self.number);
         }
         drop(state);
         if self.session.take().is_some() {
-            self.node.recorder.saw(What::Closed { node: self.node_name(), connection: self.number });
+            self.node
+                .recorder
+                .record(EventKind::SessionClosed { node: self.node_name(), connection: self.number });
         }
     }
 
@@ -207,7 +216,7 @@
                     *stream = Stream::new(rate, self.out.clone(), stream.channel, clock_rate, random);
                     stream.playing = playing;
                     let (node, connection) = (self.node.spec.name.clone(), self.number);
-                    self.node.recorder.saw(What::Switched { node, connection, rung });
+                    self.node.recorder.record(EventKind::RungChanged { node, connection, rung });
                 }
                 stream.playing = true;
                 ok.insert_header(headers::RANGE, "npt=0.000-");
@@ -265,7 +274,7 @@
         }
         let faults = self.node.state().faults.clone();
         let draw = self.node.state().random.rand_float();
-        if !is_further_track && draw < faults.resets {
+        if !is_further_track && draw < faults.reset_fraction {
             return Reply::Reset;
         }
         let load = self.fleet.load(&self.node);
@@ -281,7 +290,7 @@
         let channels = transport.and_then(|t| messages::interleaved(t.as_str(), default_channels));
         let rung = request.request_uri().and_then(rung_of);
         let (channels, rung) = match (channels, rung) {
-            _ if !is_further_track && draw < faults.resets + faults.errors => {
+            _ if !is_further_track && draw < faults.reset_fraction + faults.error_fraction => {
                 return Reply::Immediate(respond(StatusCode::InternalServerError));
             }
             (None, _) => return Reply::Immediate(respond(StatusCode::UnsupportedTransport)),
@@ -299,17 +308,17 @@
         state.streams.insert((self.number, track), stream);
         drop(state);
         let mut at = Instant::now();
-        if faults.queue {
+        if faults.serialize_setups {
             let mut state = self.node.state();
             at = at.max(state.setup_queue_ends);
-            state.setup_queue_ends = at + faults.delay;
+            state.setup_queue_ends = at + faults.setup_delay;
         }
         let mut ok = respond(StatusCode::Ok);
         ok.insert_header(headers::TRANSPORT, channels.granted(Some(random as u32)));
-        match faults.answer_lost && !is_further_track {
+        match faults.drop_setup_responses && !is_further_track {
             true => Reply::Dropped,
-            false if faults.delay.is_zero() => Reply::Immediate(ok),
-            false => Reply::Delayed(at + faults.delay, ok),
+            false if faults.setup_delay.is_zero() => Reply::Immediate(ok),
+            false => Reply::Delayed(at + faults.setup_delay, ok),
         }
     }
 }
@@ -322,6 +331,6 @@
 /// Returns the viewer and the attempt from a URL's query, where they are given as `viewer=N.K`.
 fn viewer_of(url: &Url) -> Option<(u64, u32)> {
     let (_, value) = url.query_pairs().find(|(name, _)| name == "viewer")?;
-    let (viewer, again) = value.split_once('.')?;
-    Some((viewer.parse().ok()?, again.parse().ok()?))
+    let (viewer, attempt) = value.split_once('.')?;
+    Some((viewer.parse().ok()?, attempt.parse().ok()?))
 }
--- a/crates/standin/src/hls.rs
+++ b/crates/standin/src/hls.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use ashglade_judge::What;
+use ashglade_judge::EventKind;
 use ashglade_rtsp::Packet;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -76,7 +76,8 @@
     drop(state);
     // The viewer stopped using it after its last request.
     for (_, connection, ago) in expired {
-        node.recorder.saw_before(ago, What::Closed { node: node.spec.name.clone(), connection });
+        node.recorder
+            .record_earlier(ago, EventKind::SessionClosed { node: node.spec.name.clone(), connection });
     }
 }
 
@@ -180,7 +181,11 @@
     let changed = std::mem::replace(&mut stream.rate, rate) != rate;
     drop(state);
     if changed {
-        node.recorder.saw(What::Switched { node: node.spec.name.clone(), connection: number, rung });
+        node.recorder.record(EventKind::RungChanged {
+            node: node.spec.name.clone(),
+            connection: number,
+            rung,
+        });
     }
 }
 
@@ -223,7 +228,9 @@
             state.hls_sessions.remove(&self.viewer);
         }
         drop(state);
-        self.node.recorder.saw(What::Closed { node: self.node.spec.name.clone(), connection: self.number });
+        self.node
+            .recorder
+            .record(EventKind::SessionClosed { node: self.node.spec.name.clone(), connection: self.number });
     }
 }
 
@@ -240,9 +247,16 @@
     let number = node.next_connection();
     let viewer_and_attempt =
         viewer.split_once('.').and_then(|(v, k)| Some((v.parse().ok()?, k.parse().ok()?)));
-    if let Some((viewer, again)) = viewer_and_attempt {
+    if let Some((viewer, attempt)) = viewer_and_attempt {
         let (title, connection) = (title.to_string(), number);
-        node.recorder.saw(What::Setup { node: name.clone(), connection, viewer, again, title, rung });
+        node.recorder.record(EventKind::SetupReceived {
+            node: name.clone(),
+            connection,
+            viewer,
+            attempt,
+            title,
+            rung,
+        });
     }
     if fleet.overloads(node) {
         return Err(Reset);
@@ -250,20 +264,20 @@
     let faults = node.state().faults.clone();
     let draw = node.state().random.rand_float();
     let record_response = |status: StatusCode| {
-        node.recorder.saw(What::SetupAnswered {
+        node.recorder.record(EventKind::SetupResponseSent {
             node: name.clone(),
             connection: number,
             status: status.into(),
         });
         if status != StatusCode::OK {
-            node.recorder.saw(What::Closed { node: name.clone(), connection: number });
+            node.recorder.record(EventKind::SessionClosed { node: name.clone(), connection: number });
         }
     };
-    if draw < faults.resets {
-        node.recorder.saw(What::Closed { node: name.clone(), connection: number });
+    if draw < faults.reset_fraction {
+        node.recorder.record(EventKind::SessionClosed { node: name.clone(), connection: number });
         return Err(Reset);
     }
-    if draw < faults.resets + faults.errors {
+    if draw < faults.reset_fraction + faults.error_fraction {
         record_response(StatusCode::INTERNAL_SERVER_ERROR);
         return reply(fleet, node, StatusCode::INTERNAL_SERVER_ERROR, "text/plain", "a fault\n");
     }
@@ -277,21 +291,21 @@
         // An earlier session for the same viewer and attempt ends.
         if let Some((old_number, _)) = state.hls_sessions.insert(viewer.to_string(), (number, at)) {
             state.end_session(old_number);
-            node.recorder.saw(What::Closed { node: name.clone(), connection: old_number });
+            node.recorder.record(EventKind::SessionClosed { node: name.clone(), connection: old_number });
         }
         let (out, _) = mpsc::channel::<Packet>(1);
         let random = state.random.rand_u64();
         let stream = Stream::new(fleet.rate(0, rung), out, 0, CLOCK_RATES[0], random);
         state.streams.insert((number, 0), stream);
-        if faults.queue {
+        if faults.serialize_setups {
             at = at.max(state.setup_queue_ends);
-            state.setup_queue_ends = at + faults.delay;
+            state.setup_queue_ends = at + faults.setup_delay;
         }
     }
     let mut guard =
         UnansweredGuard { node: node.clone(), viewer: viewer.to_string(), number, answered: false };
-    tokio::time::sleep_until(at + faults.delay).await;
-    if faults.answer_lost {
+    tokio::time::sleep_until(at + faults.setup_delay).await;
+    if faults.drop_setup_responses {
         // Only this response is dropped; other requests get theirs.
         std::future::pending::<()>().await;
     }
--- a/crates/standin/src/hls_player.rs
+++ b/crates/standin/src/hls_player.rs
@@ -14,8 +14,8 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout_at};
 
-use crate::recorder::Log;
-use crate::viewer::{AttemptOutcome, Media, Script};
+use crate::recorder::TrafficRecorder;
+use crate::viewer::{AttemptOutcome, MediaCounters, ViewerScript};
 
 /// Interval at which a live playlist is loaded again.
 const RELOAD_INTERVAL: Duration = Duration::from_millis(500);
@@ -23,28 +23,28 @@
 const MAX_CONSECUTIVE_FAILURES: u32 = 6;
 
 /// An HTTP connection to a director.
-pub struct Http {
+pub struct HttpClient {
     sender: SendRequest<Empty<Bytes>>,
     host: SocketAddr,
 }
 
-impl Http {
+impl HttpClient {
     /// Connects; `None` if the server can't be reached.
-    pub async fn open(host: SocketAddr) -> Option<Http> {
+    pub async fn connect(host: SocketAddr) -> Option<HttpClient> {
         let stream = TcpStream::connect(host).await.ok()?;
         let _ = stream.set_nodelay(true);
         let (sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.ok()?;
         tokio::spawn(connection);
-        Some(Http { sender, host })
+        Some(HttpClient { sender, host })
     }
 
     /// Returns status, Retry-After (in seconds) and body of a GET request; `None` if the connection fails.
     pub async fn get(&mut self, path: &str) -> Option<(StatusCode, Option<u64>, Bytes)> {
-        self.get_with(path, None).await
+        self.get_range(path, None).await
     }
 
-    /// Like [`Http::get`], with a Range header.
-    pub async fn get_with(
+    /// Like [`HttpClient::get`], with a Range header.
+    pub async fn get_range(
         &mut self,
         path: &str,
         range: Option<&str>,
@@ -68,15 +68,15 @@
 
 /// Runs one attempt: requests a session and plays it.
 pub(crate) async fn run_attempt(
-    script: &Script,
+    script: &ViewerScript,
     attempt: u32,
     director: u16,
     address: SocketAddr,
     watch: Duration,
-    recorder: &Log,
-    media: &Media,
+    recorder: &TrafficRecorder,
+    media: &MediaCounters,
 ) -> AttemptOutcome {
-    let connect = tokio::time::timeout(script.setup_timeout, Http::open(address));
+    let connect = tokio::time::timeout(script.setup_timeout, HttpClient::connect(address));
     let Ok(Some(mut http)) = connect.await else { return AttemptOutcome::Failed };
     let started = Instant::now();
     let path = format!("/{}/index.m3u8?{}", script.title, script.query(attempt));
@@ -101,7 +101,7 @@
 }
 
 /// Fetches the segments of a variant until playback fails.
-async fn fetch_segments(http: &mut Http, variant: &str, media: &Media) {
+async fn fetch_segments(http: &mut HttpClient, variant: &str, media: &MediaCounters) {
     let mut fetched: BTreeSet<String> = BTreeSet::new();
     let (mut failures, mut last_segment) = (0, Instant::now());
     while failures < MAX_CONSECUTIVE_FAILURES {
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -8,5 +8,5 @@
 mod recorder;
 pub mod viewer;
 
-pub use node::{Faults, Fleet, Spec};
-pub use recorder::Log;
+pub use node::{Faults, Fleet, NodeSpec};
+pub use recorder::TrafficRecorder;
--- a/crates/standin/src/node.rs
+++ b/crates/standin/src/node.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-use ashglade_judge::What;
+use ashglade_judge::EventKind;
 use ashglade_rtsp::Packet;
 use ashglade_rtsp::load::Load;
 use ashglade_rtsp::presentation::Begins;
@@ -15,57 +15,57 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-use crate::recorder::Log;
+use crate::recorder::TrafficRecorder;
 use crate::{connection, hls};
 
 /// Properties of a node.
 #[derive(Clone, Debug)]
-pub struct Spec {
+pub struct NodeSpec {
     pub name: String,
     /// Index of its rack, whose uplink it shares.
     pub rack: usize,
     /// Maximum number of sessions.
-    pub places: usize,
-    /// Rate of its link, in kB/s.
-    pub link: f64,
+    pub max_sessions: usize,
+    /// Rate of its link.
+    pub link_kb_per_s: f64,
     /// Whether it rejects SETUPs while its link is full.
-    pub guard: bool,
+    pub rejects_when_full: bool,
 }
 
 /// How the session rate that a node can take rises after its start, and when it fails. Times are in seconds.
 #[derive(Clone, Copy, Debug)]
-pub struct ColdPace {
+pub struct SlowStart {
     /// Fraction of the full session rate at the start of its process.
-    pub from: f64,
+    pub initial_fraction: f64,
     /// Time after which it can take the full session rate.
-    pub warm_after: f64,
+    pub duration_s: f64,
     /// Multiple of its current session rate at which it fails.
-    pub multiple: f64,
+    pub overload_multiple: f64,
     /// Sliding window over which the rate of its SETUPs is measured.
-    pub span: f64,
+    pub overload_window_s: f64,
 }
 
 /// Faults of a node that are currently injected.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
     /// SETUPs are run and their responses dropped; all other requests get responses.
-    pub answer_lost: bool,
+    pub drop_setup_responses: bool,
     /// Requests are not handled, and nothing is sent.
     pub hang: bool,
     /// Fraction of the SETUPs that fail at once with status 500.
-    pub errors: f64,
+    pub error_fraction: f64,
     /// Fraction of the SETUPs on which the connection is reset.
-    pub resets: f64,
+    pub reset_fraction: f64,
     /// Time that a SETUP takes.
-    pub delay: Duration,
+    pub setup_delay: Duration,
     /// SETUPs are handled one at a time.
-    pub queue: bool,
+    pub serialize_setups: bool,
     /// Divisor of the link's rate; no effect up to 1.
-    pub link_cut: f64,
+    pub link_divisor: f64,
     /// Load is reported as it was when this fault began.
-    pub reports_frozen: bool,
+    pub freeze_load_reports: bool,
     /// Time for which a session is kept after its connection has closed.
-    pub keeps: Duration,
+    pub orphan_retention: Duration,
 }
 
 /// One track of a session at a node.
@@ -139,12 +139,12 @@
 
 /// A stand-in media node.
 pub struct Node {
-    pub spec: Spec,
+    pub spec: NodeSpec,
     /// Address of its RTSP server.
     pub address: SocketAddr,
     /// Address of its HLS server.
-    pub http: SocketAddr,
-    pub(crate) recorder: Log,
+    pub http_address: SocketAddr,
+    pub(crate) recorder: TrafficRecorder,
     state: Mutex<State>,
     /// Counts the changes that wake connections: of faults, and the end of the process.
     pub(crate) changes: watch::Sender<u64>,
@@ -163,12 +163,12 @@
     }
 
     /// Returns the number of sessions that it holds.
-    pub fn held(&self) -> usize {
+    pub fn session_count(&self) -> usize {
         self.state().session_count()
     }
 
     /// Returns the total time for which sessions were kept after their connection had closed.
-    pub fn orphaned(&self) -> Duration {
+    pub fn orphaned_time(&self) -> Duration {
         let state = self.state();
         state.orphaned_time + state.orphans.values().map(Instant::elapsed).sum::<Duration>()
     }
@@ -200,8 +200,8 @@
     uplink_divisors: Mutex<Vec<f64>>,
     /// Rate of each rung, in kB/s.
     pub ladder: Vec<f64>,
-    pub cold: ColdPace,
-    recorder: Log,
+    pub slow_start: SlowStart,
+    recorder: TrafficRecorder,
 }
 
 /// RTP payload of a packet: two MPEG transport stream packets.
@@ -217,12 +217,12 @@
     /// Starts all nodes, each with listeners for RTSP and HLS on loopback, at ports chosen by the system.
     /// `uplinks` and `ladder` are in kB/s.
     pub async fn start(
-        specs: Vec<Spec>,
+        specs: Vec<NodeSpec>,
         uplinks: Vec<f64>,
         ladder: Vec<f64>,
-        cold: ColdPace,
+        slow_start: SlowStart,
         seed: u64,
-        recorder: Log,
+        recorder: TrafficRecorder,
     ) -> std::io::Result<Arc<Fleet>> {
         let mut nodes = Vec::new();
         let mut listeners = Vec::new();
@@ -248,12 +248,12 @@
             let address = rtsp_listener.local_addr()?;
             let changes = watch::channel(0).0;
             let hls_listener = listen(([127, 0, 0, 1], 0).into())?;
-            let http = hls_listener.local_addr()?;
+            let http_address = hls_listener.local_addr()?;
             let node_listeners = (rtsp_listener, hls_listener);
             nodes.push(Arc::new(Node {
                 spec,
                 address,
-                http,
+                http_address,
                 recorder: recorder.clone(),
                 state: Mutex::new(state),
                 changes,
@@ -261,7 +261,7 @@
             listeners.push(node_listeners);
         }
         let uplink_divisors = Mutex::new(vec![1.0; uplinks.len()]);
-        let fleet = Arc::new(Fleet { nodes, uplinks, uplink_divisors, ladder, cold, recorder });
+        let fleet = Arc::new(Fleet { nodes, uplinks, uplink_divisors, ladder, slow_start, recorder });
         for (node, (rtsp_listener, hls_listener)) in fleet.nodes.iter().zip(listeners) {
             tokio::spawn(accept(fleet.clone(), node.clone(), rtsp_listener));
             tokio::spawn(hls::accept(fleet.clone(), node.clone(), hls_listener));
@@ -271,11 +271,11 @@
     }
 
     /// Changes the faults of a node, and wakes its connections.
-    pub fn set(&self, node: usize, change: impl FnOnce(&mut Faults)) {
+    pub fn update_faults(&self, node: usize, change: impl FnOnce(&mut Faults)) {
         let Some(node) = self.nodes.get(node) else { return };
         let load = self.load(node);
         let mut state = node.state();
-        if !state.faults.reports_frozen {
+        if !state.faults.freeze_load_reports {
             state.frozen_load = load;
         }
         change(&mut state.faults);
@@ -284,7 +284,7 @@
     }
 
     /// Divides the rate of a rack's uplink; a divisor below 1 counts as 1.
-    pub fn cut_uplink(&self, rack: usize, divisor: f64) {
+    pub fn set_uplink_divisor(&self, rack: usize, divisor: f64) {
         let mut divisors = self.uplink_divisors.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         if let Some(current) = divisors.get_mut(rack) {
             *current = divisor.max(1.0);
@@ -305,14 +305,14 @@
         if node.state().overloaded {
             return Ok(());
         }
-        let (rtsp_listener, hls_listener) = (listen(node.address)?, listen(node.http)?);
+        let (rtsp_listener, hls_listener) = (listen(node.address)?, listen(node.http_address)?);
         {
             let mut state = node.state();
             (state.running, state.started) = (true, Instant::now());
             state.recent_setups.clear();
             state.faults = Faults::default();
         }
-        self.recorder.saw(What::NodeStarted { node: node.spec.name.clone() });
+        self.recorder.record(EventKind::NodeStarted { node: node.spec.name.clone() });
         tokio::spawn(accept(self.clone(), node.clone(), rtsp_listener));
         tokio::spawn(hls::accept(self.clone(), node, hls_listener));
         Ok(())
@@ -323,21 +323,22 @@
     pub(crate) fn overloads(&self, node: &Node) -> bool {
         let mut state = node.state();
         let now = Instant::now();
-        let (window, age) = (Duration::from_secs_f64(self.cold.span), now - state.started);
+        let (window, age) = (Duration::from_secs_f64(self.slow_start.overload_window_s), now - state.started);
         state.recent_setups.retain(|&at| now - at <= window);
         state.recent_setups.push(now);
-        let progress = age.as_secs_f64() / self.cold.warm_after;
+        let progress = age.as_secs_f64() / self.slow_start.duration_s;
         if progress >= 1.0 {
             return false;
         }
-        let full_rate = node.spec.places as f64 / self.cold.warm_after;
-        let current_rate = full_rate * (self.cold.from + (1.0 - self.cold.from) * progress);
-        let overloaded =
-            state.recent_setups.len() as f64 > self.cold.multiple * current_rate * self.cold.span + 1.0;
+        let full_rate = node.spec.max_sessions as f64 / self.slow_start.duration_s;
+        let current_rate = full_rate
+            * (self.slow_start.initial_fraction + (1.0 - self.slow_start.initial_fraction) * progress);
+        let overloaded = state.recent_setups.len() as f64
+            > self.slow_start.overload_multiple * current_rate * self.slow_start.overload_window_s + 1.0;
         state.overloaded |= overloaded;
         drop(state);
         if overloaded {
-            self.recorder.saw(What::NodeFell { node: node.spec.name.clone() });
+            self.recorder.record(EventKind::NodeOverloaded { node: node.spec.name.clone() });
             end_process(node);
         }
         overloaded
@@ -345,8 +346,8 @@
 
     /// Returns the current rate of a node's link, in kB/s.
     fn link_rate(&self, node: &Node) -> f64 {
-        let divisor = node.state().faults.link_cut;
-        node.spec.link / if divisor > 1.0 { divisor } else { 1.0 }
+        let divisor = node.state().faults.link_divisor;
+        node.spec.link_kb_per_s / if divisor > 1.0 { divisor } else { 1.0 }
     }
 
     /// Returns the total rate of a node's sessions, in kB/s.
@@ -367,7 +368,7 @@
     /// Returns the load that a node reports.
     pub(crate) fn load(&self, node: &Node) -> Load {
         let state = node.state();
-        if state.faults.reports_frozen {
+        if state.faults.freeze_load_reports {
             return state.frozen_load;
         }
         let streams = state.session_count() as f64;
@@ -388,7 +389,8 @@
     /// Returns whether a node rejects SETUPs.
     pub(crate) fn is_full(&self, node: &Node) -> bool {
         let sessions = node.state().session_count();
-        sessions >= node.spec.places || (node.spec.guard && self.demand(node) >= self.link_rate(node))
+        sessions >= node.spec.max_sessions
+            || (node.spec.rejects_when_full && self.demand(node) >= self.link_rate(node))
     }
 
     /// Returns the rate of a track at a rung, in kB/s. Track 0 is video, all others are audio.
@@ -411,7 +413,7 @@
         std::mem::take(&mut state.hls_sessions).into_values().map(|(number, _)| number).collect();
     drop(state);
     for connection in hls_sessions {
-        node.recorder.saw(What::Closed { node: node.spec.name.clone(), connection });
+        node.recorder.record(EventKind::SessionClosed { node: node.spec.name.clone(), connection });
     }
     node.changes.send_modify(|count| *count += 1);
 }
@@ -455,7 +457,7 @@
             let uplink_demand = uplink_demands.get(node.spec.rack).copied().unwrap_or(0.0);
             let fraction = 1.0 / link_demand.max(uplink_demand).max(1.0);
             let mut state = node.state();
-            let retention = state.faults.keeps;
+            let retention = state.faults.orphan_retention;
             let expired: Vec<u64> = state
                 .orphans
                 .iter()
--- a/crates/standin/src/viewer.rs
+++ b/crates/standin/src/viewer.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use ashglade_judge::What;
+use ashglade_judge::EventKind;
 use ashglade_rtsp::{Codec, Packet, Request, Response, messages};
 use futures_util::{SinkExt, StreamExt};
 use rtsp_types::{Method, StatusCode, Url, headers};
@@ -14,58 +14,58 @@
 use tokio_util::codec::Framed;
 
 use crate::hls_player;
-use crate::recorder::Log;
+use crate::recorder::TrafficRecorder;
 
 /// What a viewer does.
 #[derive(Clone, Debug)]
-pub struct Script {
+pub struct ViewerScript {
     pub id: u64,
     /// Directors, each with its index. The viewer begins with the first and takes the next one after a
     /// failure.
     pub directors: Vec<(u16, SocketAddr)>,
     /// The HLS addresses of the directors, used in place of `directors` if the viewer speaks HLS.
-    pub hls: Option<Vec<(u16, SocketAddr)>>,
+    pub hls_directors: Option<Vec<(u16, SocketAddr)>>,
     pub group: String,
     pub title: String,
     /// Number of tracks that it sets up.
     pub tracks: u8,
     /// Highest rung that it can play.
-    pub top: u8,
+    pub top_rung: u8,
     pub setup_timeout: Duration,
     /// Time for which it watches, over all attempts.
-    pub watch: Duration,
+    pub watch_duration: Duration,
     /// Time after which it leaves if its request has no response; `None` to wait for the setup timeout.
-    pub leaves_after: Option<Duration>,
+    pub abandon_after: Option<Duration>,
     /// Maximum number of attempts after the first.
-    pub returns: u32,
+    pub max_retries: u32,
     /// Delay before the next attempt after a failure, or a busy reply without Retry-After.
-    pub rejoin: Duration,
+    pub retry_delay: Duration,
 }
 
 /// Counters of the media that viewers received.
 #[derive(Debug, Default)]
-pub struct Media {
+pub struct MediaCounters {
     /// RTP packets.
     pub packets: AtomicU64,
     /// Bytes of RTP packets and HLS segments.
     pub bytes: AtomicU64,
     /// Changes of a track's SSRC. A director must cause none.
-    pub foreign: AtomicU64,
+    pub ssrc_changes: AtomicU64,
     /// RTP packets with a lower sequence number than the one before. A director must cause none.
-    pub backward: AtomicU64,
+    pub sequence_regressions: AtomicU64,
     /// Attempts that failed.
-    pub breaks: AtomicU64,
+    pub failed_attempts: AtomicU64,
     /// HLS segments.
     pub segments: AtomicU64,
     /// Milliseconds for which HLS players stalled.
     pub stalled_ms: AtomicU64,
 }
 
-impl Script {
+impl ViewerScript {
     /// Returns the query of the URL of an attempt.
     pub(crate) fn query(&self, attempt: u32) -> String {
         let viewer = self.id;
-        format!("group={}&top={}&viewer={viewer}.{attempt}&client=v{viewer}", self.group, self.top)
+        format!("group={}&top={}&viewer={viewer}.{attempt}&client=v{viewer}", self.group, self.top_rung)
     }
 
     /// Requests a session with any protocol, and records the request and its result. `response` sends the
@@ -73,33 +73,37 @@
     /// outcome of an attempt without one.
     pub(crate) async fn request_session<T>(
         &self,
-        again: u32,
+        attempt: u32,
         director: u16,
-        recorder: &Log,
+        recorder: &TrafficRecorder,
         response: impl Future<Output = Option<T>>,
         status: impl Fn(&T) -> u16,
     ) -> Result<T, AttemptOutcome> {
         let (viewer, started) = (self.id, Instant::now());
-        recorder.saw(What::Asked {
+        recorder.record(EventKind::RequestSent {
             viewer,
-            again,
+            attempt,
             director,
             group: self.group.clone(),
             title: self.title.clone(),
             setup_timeout: self.setup_timeout.as_secs_f64() * 1e3,
         });
-        let timeout = self.leaves_after.unwrap_or(self.setup_timeout).min(self.setup_timeout);
+        let timeout = self.abandon_after.unwrap_or(self.setup_timeout).min(self.setup_timeout);
         match timeout_at(started + timeout, response).await {
             Ok(Some(response)) => {
-                recorder.saw(What::Answered { viewer, again, status: status(&response) });
+                recorder.record(EventKind::ResponseReceived { viewer, attempt, status: status(&response) });
                 Ok(response)
             }
             Ok(None) => {
-                recorder.saw(What::Cut { viewer, again });
+                recorder.record(EventKind::ClosedWithoutResponse { viewer, attempt });
                 Err(AttemptOutcome::Failed)
             }
             Err(_) => {
-                recorder.saw(What::GaveUp { viewer, again, patient: timeout >= self.setup_timeout });
+                recorder.record(EventKind::RequestAbandoned {
+                    viewer,
+                    attempt,
+                    timed_out: timeout >= self.setup_timeout,
+                });
                 Err(if timeout < self.setup_timeout { AttemptOutcome::Left } else { AttemptOutcome::Failed })
             }
         }
@@ -119,16 +123,16 @@
 }
 
 /// Runs a viewer to its end.
-pub async fn run(script: Script, recorder: Log, media: Arc<Media>) {
-    let mut remaining = script.watch;
+pub async fn run(script: ViewerScript, recorder: TrafficRecorder, media: Arc<MediaCounters>) {
+    let mut remaining = script.watch_duration;
     let mut failures = 0;
-    for attempt in 0..=script.returns {
-        let directors = script.hls.as_ref().unwrap_or(&script.directors);
+    for attempt in 0..=script.max_retries {
+        let directors = script.hls_directors.as_ref().unwrap_or(&script.directors);
         let Some(&(director, address)) = directors.get(failures % directors.len().max(1)) else {
             return;
         };
         let started = Instant::now();
-        let outcome = match script.hls {
+        let outcome = match script.hls_directors {
             Some(_) => {
                 hls_player::run_attempt(&script, attempt, director, address, remaining, &recorder, &media)
                     .await
@@ -139,14 +143,14 @@
         match outcome {
             AttemptOutcome::Watched | AttemptOutcome::Left => return,
             AttemptOutcome::Busy(retry_after) => {
-                tokio::time::sleep(retry_after.unwrap_or(script.rejoin)).await
+                tokio::time::sleep(retry_after.unwrap_or(script.retry_delay)).await
             }
             AttemptOutcome::Failed => {
                 // Only a failure makes it try another director; after a busy reply it returns to the same
                 // one.
                 failures += 1;
-                media.breaks.fetch_add(1, Ordering::Relaxed);
-                tokio::time::sleep(script.rejoin).await;
+                media.failed_attempts.fetch_add(1, Ordering::Relaxed);
+                tokio::time::sleep(script.retry_delay).await;
             }
         }
         if remaining < Duration::from_millis(200) {
@@ -194,13 +198,13 @@
 
 /// Runs one attempt over RTSP: requests a session and plays it.
 async fn run_attempt(
-    script: &Script,
+    script: &ViewerScript,
     attempt: u32,
     director: u16,
     address: SocketAddr,
     watch: Duration,
-    recorder: &Log,
-    media: &Media,
+    recorder: &TrafficRecorder,
+    media: &MediaCounters,
 ) -> AttemptOutcome {
     let query = script.query(attempt);
     let Ok(url) = Url::parse(&format!("rtsp://{address}/{}?{query}", script.title)) else {
@@ -255,9 +259,9 @@
                 let (ssrc, seq) = (packet.ssrc(), packet.sequence_number());
                 let last = &mut last[usize::from(channel / 2)];
                 if let Some((last_ssrc, last_seq)) = *last {
-                    media.foreign.fetch_add(u64::from(ssrc != last_ssrc), Ordering::Relaxed);
+                    media.ssrc_changes.fetch_add(u64::from(ssrc != last_ssrc), Ordering::Relaxed);
                     let is_backward = seq.wrapping_sub(last_seq) > 0x8000;
-                    media.backward.fetch_add(u64::from(is_backward), Ordering::Relaxed);
+                    media.sequence_regressions.fetch_add(u64::from(is_backward), Ordering::Relaxed);
                 }
                 *last = Some((ssrc, seq));
             }
