--- a/crates/lab/src/emulator/world.rs
+++ b/crates/lab/src/emulator/world.rs
@@ -161,7 +161,7 @@
                 directors::director_settings(day, director, "127.0.0.1:554", "127.0.0.1:80", Some(peers))?;
             let mut settings = ashglade_settings::settings("headend", &text).map_err(|e| e.to_string())?;
             settings.door = settings.door.filter(|_| admission);
-            director_configs.push((ashglade_director::replay_start(&settings), PeerState::new(&settings)));
+            director_configs.push((ashglade_director::engine_config(&settings), PeerState::new(&settings)));
             first_settings.get_or_insert(settings);
         }
         let settings = first_settings.ok_or("the day has no directors")?;
