--- a/crates/cli/tests/crossings.rs
+++ b/crates/cli/tests/crossings.rs
@@ -300,7 +300,7 @@
     let mut stage = Stage::with(&[told("n1", node.address, 0)], |text| text);
     let (mut viewer, mut peer) = stage.plays(&node, 1);
     stage.program.signal(Signal::SIGTERM);
-    stage.program.says("a planned end is near");
+    stage.program.says("SIGTERM received; draining");
     // What still comes is served, on connections of before and on new ones, and what plays goes on.
     viewer.asks(2, "7f");
     assert!(peer.hears().contains(&tag(2)));
@@ -314,7 +314,7 @@
     assert!(line.contains("FINISH") && line.contains(&tag(2)), "{line}");
     let (code, log) = stage.program.ends();
     assert_eq!(code, Some(0));
-    assert!(log.contains("nothing is owed any longer: ended as planned"), "{log}");
+    assert!(log.contains("drain finished; shutting down"), "{log}");
 }
 
 #[test]
@@ -334,7 +334,7 @@
     drop(pipe);
     program.says("serving");
     std::fs::write(&file, text).unwrap();
-    program.says("a planned end is near");
+    program.says("SIGTERM received; draining");
     assert_eq!(asked.recv_timeout(PATIENCE).unwrap(), 0);
     assert!(Viewer::connect(listen).tested().contains(r#""rc":0"#));
 }
@@ -350,12 +350,12 @@
     program.signal(Signal::SIGHUP);
     // Each write opens once the program reads.
     std::fs::write(&program.config, &text[..text.len() / 2]).unwrap();
-    program.says("is read again in a moment");
+    program.says("cannot read the new configuration; retrying");
     let changed = text
         .replace(&address.to_string(), &moved.to_string())
         .replace(r#""memory_mb": 64"#, r#""memory_mb": 65"#);
     std::fs::write(&program.config, changed).unwrap();
-    program.says("read anew, but in force from the next start on fields=\"limits\"");
+    program.says("changed fields take effect only after a restart fields=\"limits\"");
     assert_eq!(asked.recv_timeout(PATIENCE).unwrap(), 0);
 }
 
--- a/crates/cli/tests/lists.rs
+++ b/crates/cli/tests/lists.rs
@@ -208,7 +208,7 @@
         let (_bus, _, mut program, _) = begun(&nodes.join(","), |text| text.replace("retryable", group));
         let mut viewer = Viewer::connect(program.listen);
         viewer.asks_cells(1, "7f", 0, 2);
-        program.says(r#"does action=ToNode"#);
+        program.says(r#"action action=SendUpstream"#);
         drop(first);
         let line = viewer.hears();
         assert!(line.contains(answer) && line.contains(&tag(1)), "{group}: {line}");
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -52,7 +52,7 @@
     let old = std::fs::read_to_string(&program.config).unwrap();
     std::fs::write(&program.config, "{\"name\": 7").unwrap();
     program.signal(Signal::SIGHUP);
-    program.says("stays in force");
+    program.says("the current one stays in force");
     let (moved, asked) = bus.serve();
     std::fs::write(&program.config, old.replace(&address.to_string(), &moved.to_string())).unwrap();
     program.signal(Signal::SIGHUP);
@@ -69,7 +69,7 @@
 
     // Near its end it fails tests, and serves what still comes.
     program.signal(Signal::SIGTERM);
-    program.says("a planned end is near");
+    program.says("SIGTERM received; draining");
     while !Viewer::connect(program.listen).tested().contains(r#""rc":0"#) {}
     viewer.asks(4, "7f");
     assert!(viewer.hears().contains("STARTED"));
--- a/crates/platform-director/src/connection.rs
+++ b/crates/platform-director/src/connection.rs
@@ -1,11 +1,18 @@
-//! One connection, whoever is at its other end: lines in, lines out, both bounded, and how it ends.
+//! One connection to a viewer or a media node: receives and sends lines through bounded queues, and reports
+//! how the connection ended.
 //!
-//! Three things cross here. A peer closes while a line for it is on its way: reading goes first, and what was not
-//! written is told when the connection ends, so that its owner can do without it or send it elsewhere. We close
-//! while a line of the peer's is on its way: an idle connection is closed only if nothing has come. And a socket
-//! that is dropped with bytes unread is reset, which may take with it what was just written: so we close our half
-//! first and pass over what still comes, for a moment.
+//! Three races are handled here:
+//!
+//! - The peer closes while a line for it is on its way. Received data is read before anything is written, and
+//!   unwritten lines are reported when the connection ends, so that the caller can drop them or send them
+//!   elsewhere.
+//! - This side closes while a line of the peer is on its way. An idle connection is closed only if nothing
+//!   has been received in the meantime.
+//! - A socket that is closed with unread data is reset, and the peer may lose data that was written just
+//!   before. This side therefore shuts down its sending half first, and for a short time reads and discards
+//!   what is still received.
 
+use std::fmt;
 use std::io::ErrorKind;
 use std::time::Duration;
 
@@ -19,129 +26,147 @@
 use tokio::time::{Instant, sleep_until, timeout, timeout_at};
 use tokio_util::codec::Decoder;
 
-use crate::hub::Word;
+use crate::event_loop::ConnectionEvent;
 
-/// Read at once at most, so that one that sends at full speed takes its turn with the others.
-const CHUNK: usize = 4096;
-/// A peer that takes nothing for so long is let go.
-const STUCK: Duration = Duration::from_secs(3);
-/// A connection that we close is gone after so long, whatever its peer does.
-const CLOSING: Duration = Duration::from_millis(250);
-/// Written bytes are surely with the peer, or lost for another reason, after so long.
-const ON_ITS_WAY: Duration = Duration::from_secs(1);
-/// Lines written at once at most.
-const TOGETHER: usize = 64;
+/// Maximum number of bytes per read, so that a fast sender does not starve the other connections.
+const READ_CHUNK_BYTES: usize = 4096;
+/// Time without write progress after which a connection is given up.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time after which a connection that this side closes is dropped, even if its peer has not closed.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time after a write within which the data may still be in transit, so that a reset could lose it.
+const TRANSIT_TIME: Duration = Duration::from_secs(1);
+/// Maximum number of lines per write.
+const MAX_LINES_PER_WRITE: usize = 64;
 
-/// What the hub wants of a connection; it is closed, once all is written, when nobody holds its sender.
+/// What the event loop asks of a connection. Dropping the sender of the commands closes the connection once
+/// all queued lines are written.
 #[derive(Debug)]
-pub enum Order {
-    Line(Bytes),
-    /// Written if the peer, which has closed, may still read; never handed back.
-    Last(Bytes),
-    /// Closes unless something has come that the hub had not heard of: it had heard so many lines.
-    CloseIfQuiet(u64),
+pub enum ConnectionCommand {
+    /// Send a line.
+    SendLine(Bytes),
+    /// Send a line to a peer that has closed, in case it closed only its sending half and still reads. Never
+    /// reported as unwritten.
+    SendAfterClose(Bytes),
+    /// Close the connection unless it has received a message that the event loop had not processed when it
+    /// sent the command. Holds the number of messages processed by then.
+    CloseIfIdle(u64),
 }
 
 /// Why a connection ended.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// The peer closed or reset it.
-    Closed,
-    /// What came can't be read, or stopped in the middle of a line.
-    Unreadable,
-    /// It doesn't take what is written.
-    Stuck,
-    /// We closed it.
-    Ours,
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub enum EndReason {
+    /// The peer closed or reset the connection.
+    PeerClosed,
+    /// A malformed line was received, or a line that was not completed in time.
+    ProtocolError,
+    /// The peer did not read what was written to it.
+    WriteTimeout,
+    /// This side closed the connection.
+    LocalClose,
+}
+
+/// Prints the label that logs use for the reason.
+impl fmt::Debug for EndReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            EndReason::PeerClosed => "Closed",
+            EndReason::ProtocolError => "Unreadable",
+            EndReason::WriteTimeout => "Stuck",
+            EndReason::LocalClose => "Ours",
+        })
+    }
 }
 
-/// A line that is no message.
-pub struct Spoilt;
+/// Error for a line that is not a valid message.
+pub struct MalformedLine;
 
-/// What comes of a line.
-pub enum Heard {
-    Nothing,
-    Word(Word),
-    /// Written if its sender, which has closed behind it, still reads.
+/// Result of handling a received line.
+pub enum LineOutcome {
+    Ignore,
+    /// Send the event to the event loop.
+    Event(ConnectionEvent),
+    /// Send the line once the connection has ended: the peer has closed, but may still read.
     Reply(Bytes),
 }
 
 struct Reader {
     half: OwnedReadHalf,
     buffer: BytesMut,
-    lines: LineDecoder,
-    /// The peer's close has been read: what is buffered was its last.
-    ended: bool,
-    /// A line has begun and must end by then.
-    by: Option<Instant>,
+    decoder: LineDecoder,
+    /// The peer's close has been read; the buffer holds the last data of the peer.
+    peer_closed: bool,
+    /// When the line that has begun must be complete.
+    line_deadline: Option<Instant>,
 }
 
 impl Reader {
-    /// The next line; one that has begun must end within `patience`, in however many pieces it comes. May be dropped
-    /// and called again.
-    async fn next(&mut self, patience: Duration) -> Result<Bytes, End> {
+    /// Returns the next line. A line that has begun must be complete within `line_timeout`, however many
+    /// reads it takes. Cancel-safe.
+    async fn next_line(&mut self, line_timeout: Duration) -> Result<Bytes, EndReason> {
         loop {
-            self.read_on();
-            match self.lines.decode(&mut self.buffer) {
+            self.read_available();
+            match self.decoder.decode(&mut self.buffer) {
                 Ok(Some(line)) => {
-                    self.by = None;
+                    self.line_deadline = None;
                     return Ok(line);
                 }
                 Ok(None) => {}
-                Err(_) => return Err(End::Unreadable),
+                Err(_) => return Err(EndReason::ProtocolError),
             }
-            if self.ended {
-                return Err(End::Closed);
+            if self.peer_closed {
+                return Err(EndReason::PeerClosed);
             }
             if self.buffer.is_empty() {
-                // Nothing is held for a connection that is quiet; wait for word before there is room for it.
+                // An idle connection holds no buffer: one is allocated once data has arrived.
                 self.buffer = BytesMut::new();
-                self.half.readable().await.map_err(|_| End::Closed)?;
+                self.half.readable().await.map_err(|_| EndReason::PeerClosed)?;
             } else {
-                self.by.get_or_insert_with(|| Instant::now() + patience);
+                self.line_deadline.get_or_insert_with(|| Instant::now() + line_timeout);
             }
-            self.buffer.reserve(CHUNK);
-            let mut limited = (&mut self.half).take(CHUNK as u64);
+            self.buffer.reserve(READ_CHUNK_BYTES);
+            let mut limited = (&mut self.half).take(READ_CHUNK_BYTES as u64);
             let read = limited.read_buf(&mut self.buffer);
-            let read = match self.by {
-                Some(by) => timeout_at(by, read).await.map_err(|_| End::Unreadable)?,
+            let read = match self.line_deadline {
+                Some(deadline) => timeout_at(deadline, read).await.map_err(|_| EndReason::ProtocolError)?,
                 None => read.await,
             };
             match read {
-                Ok(0) | Err(_) => return Err(End::Closed),
+                Ok(0) | Err(_) => return Err(EndReason::PeerClosed),
                 Ok(_) => {}
             }
         }
     }
 
-    /// Takes what has come already, a few lines at most, so that a close behind them is known before they are acted on.
-    fn read_on(&mut self) {
-        while !self.ended && !self.buffer.is_empty() && self.buffer.len() < CHUNK {
-            self.buffer.reserve(CHUNK);
+    /// Reads data that has already arrived, up to about one chunk, so that a close right behind the buffered
+    /// lines is known before the lines are processed.
+    fn read_available(&mut self) {
+        while !self.peer_closed && !self.buffer.is_empty() && self.buffer.len() < READ_CHUNK_BYTES {
+            self.buffer.reserve(READ_CHUNK_BYTES);
             match self.half.try_read_buf(&mut self.buffer) {
-                Ok(0) => self.ended = true,
+                Ok(0) => self.peer_closed = true,
                 Ok(_) => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
-                Err(_) => self.ended = true,
+                Err(_) => self.peer_closed = true,
             }
         }
     }
 
-    /// Nothing has come that was not handed on.
-    fn is_quiet(&mut self) -> bool {
+    /// Returns whether no data has arrived that was not returned as a line.
+    fn is_idle(&mut self) -> bool {
         if self.buffer.is_empty() {
-            self.buffer.reserve(CHUNK);
-            // One that has closed meanwhile is told as such when it is read next.
+            self.buffer.reserve(READ_CHUNK_BYTES);
+            // A close by the peer is reported by the next read.
             let _ = self.half.try_read_buf(&mut self.buffer);
         }
         self.buffer.is_empty()
     }
 
-    /// Passes over what still comes, until the peer closes too.
-    async fn pass_over(&mut self) {
+    /// Reads and discards data until the peer closes too.
+    async fn discard_until_close(&mut self) {
         self.buffer.clear();
-        self.buffer.reserve(CHUNK);
-        while self.half.read_buf(&mut self.buffer).await.is_ok_and(|n| n > 0) {
+        self.buffer.reserve(READ_CHUNK_BYTES);
+        while self.half.read_buf(&mut self.buffer).await.is_ok_and(|count| count > 0) {
             self.buffer.clear();
         }
     }
@@ -149,203 +174,217 @@
 
 struct Writer {
     half: OwnedWriteHalf,
-    /// Lines that wait, and those being written, with the part of them that is not written yet.
-    waiting: Vec<Bytes>,
-    under_way: Vec<Bytes>,
-    bytes: Bytes,
-    /// Something must be taken by then.
-    by: Instant,
-    last: Option<Instant>,
+    /// Lines whose write has not begun.
+    queued: Vec<Bytes>,
+    /// Lines whose write has begun.
+    in_flight: Vec<Bytes>,
+    /// The bytes of `in_flight` that are not written yet.
+    unsent: Bytes,
+    /// When the next bytes must be written.
+    write_deadline: Instant,
+    last_write_at: Option<Instant>,
 }
 
 impl Writer {
-    fn has_more(&self) -> bool {
-        !self.bytes.is_empty() || !self.waiting.is_empty()
+    fn has_unsent(&self) -> bool {
+        !self.unsent.is_empty() || !self.queued.is_empty()
     }
 
     fn has_room(&self) -> bool {
-        self.waiting.len() < TOGETHER
+        self.queued.len() < MAX_LINES_PER_WRITE
     }
 
-    /// Writes a part. May be dropped and called again.
-    async fn some(&mut self) -> Result<(), End> {
-        if self.bytes.is_empty() {
-            self.under_way = std::mem::take(&mut self.waiting);
-            self.bytes = match &self.under_way[..] {
+    /// Writes once, possibly a part of the unsent bytes. Cancel-safe.
+    async fn write_some(&mut self) -> Result<(), EndReason> {
+        if self.unsent.is_empty() {
+            self.in_flight = std::mem::take(&mut self.queued);
+            self.unsent = match &self.in_flight[..] {
                 [line] => line.clone(),
                 lines => Bytes::from(lines.concat()),
             };
-            self.by = Instant::now() + STUCK;
+            self.write_deadline = Instant::now() + WRITE_TIMEOUT;
         }
-        let written = timeout_at(self.by, self.half.write(&self.bytes)).await;
-        let n = written.map_err(|_| End::Stuck)?.map_err(|_| End::Closed)?;
-        self.bytes.advance(n);
-        (self.by, self.last) = (Instant::now() + STUCK, Some(Instant::now()));
+        let written = timeout_at(self.write_deadline, self.half.write(&self.unsent)).await;
+        let count = written.map_err(|_| EndReason::WriteTimeout)?.map_err(|_| EndReason::PeerClosed)?;
+        self.unsent.advance(count);
+        (self.write_deadline, self.last_write_at) = (Instant::now() + WRITE_TIMEOUT, Some(Instant::now()));
         Ok(())
     }
 
-    /// The lines that are not wholly written, and what may still be written to.
-    fn unwritten(mut self) -> (Vec<Bytes>, Option<OwnedWriteHalf>) {
-        // Behind a part of a line nothing could be read.
-        let whole = self.bytes.is_empty();
-        let (mut left, mut from) = (self.bytes.len(), self.under_way.len());
-        while left > 0 && from > 0 {
-            from -= 1;
-            left = left.saturating_sub(self.under_way[from].len());
+    /// Returns the lines that are not completely written, and the sending half if it can still be used.
+    fn into_unwritten(mut self) -> (Vec<Bytes>, Option<OwnedWriteHalf>) {
+        // After a part of a line, the peer could not parse anything further.
+        let at_line_boundary = self.unsent.is_empty();
+        let (mut remaining, mut first_unwritten) = (self.unsent.len(), self.in_flight.len());
+        while remaining > 0 && first_unwritten > 0 {
+            first_unwritten -= 1;
+            remaining = remaining.saturating_sub(self.in_flight[first_unwritten].len());
         }
-        let mut lines = self.under_way.split_off(from);
-        lines.append(&mut self.waiting);
-        (lines, whole.then_some(self.half))
+        let mut lines = self.in_flight.split_off(first_unwritten);
+        lines.append(&mut self.queued);
+        (lines, at_line_boundary.then_some(self.half))
     }
 }
 
 /// How a connection ended.
-pub struct Ended {
-    pub end: End,
+pub struct ClosedConnection {
+    pub reason: EndReason,
+    /// Lines that were not completely written.
     pub unwritten: Vec<Bytes>,
-    /// Of a peer that has closed, perhaps its half alone, or that sent what can't be read: what may still be written to,
-    /// and what is owed there.
-    half: Option<(Reader, OwnedWriteHalf, Vec<Bytes>)>,
+    /// Both halves of the socket and the replies still to be sent, if the peer may still read: it has closed,
+    /// perhaps only its sending half, or has sent a malformed line.
+    half_open: Option<(Reader, OwnedWriteHalf, Vec<Bytes>)>,
 }
 
-impl Ended {
-    /// A peer that may still read is told what came of its requests; other lines come back. It is over when nobody holds
-    /// the orders' sender.
-    pub async fn last_words(self, orders: &mut mpsc::Receiver<Order>) -> Vec<Bytes> {
+impl ClosedConnection {
+    /// Sends a peer that may still read the answers to its last requests, until the sender of the commands is
+    /// dropped or [`CLOSE_TIMEOUT`] has passed. Returns the lines that were to be sent on the open
+    /// connection.
+    pub async fn send_final_lines(self, commands: &mut mpsc::Receiver<ConnectionCommand>) -> Vec<Bytes> {
         let mut unwritten = Vec::new();
-        let Some((mut reader, mut half, replies)) = self.half else { return unwritten };
-        let all = async {
-            let mut writes = half.write_all(&replies.concat()).await.is_ok();
+        let Some((mut reader, mut half, replies)) = self.half_open else { return unwritten };
+        let send_lines = async {
+            let mut writable = half.write_all(&replies.concat()).await.is_ok();
             let mut wrote = !replies.is_empty();
-            while let Some(order) = orders.recv().await {
-                match order {
-                    Order::Last(line) if writes => {
-                        (writes, wrote) = (half.write_all(&line).await.is_ok(), true);
+            while let Some(command) = commands.recv().await {
+                match command {
+                    ConnectionCommand::SendAfterClose(line) if writable => {
+                        (writable, wrote) = (half.write_all(&line).await.is_ok(), true);
                     }
-                    Order::Line(line) => unwritten.push(line),
+                    ConnectionCommand::SendLine(line) => unwritten.push(line),
                     _ => {}
                 }
             }
             let _ = half.shutdown().await;
-            if wrote && writes && !reader.ended {
-                reader.pass_over().await;
+            if wrote && writable && !reader.peer_closed {
+                reader.discard_until_close().await;
             }
         };
-        let _ = timeout(CLOSING, all).await;
+        let _ = timeout(CLOSE_TIMEOUT, send_lines).await;
         unwritten
     }
 }
 
-/// Carries lines both ways until either side ends it; tells why, and which lines were not written. `heard` tells
-/// what comes of a line; an error where it can't be read. It is told whether the peer has closed.
-pub async fn carry(
+/// Receives and sends lines until either side ends the connection.
+///
+/// `handle_line` gets each received line and whether the peer's close has been read behind it; an error ends
+/// the connection. A line that has begun must be complete within `line_timeout`.
+pub async fn run_connection(
     stream: TcpStream,
-    patience: Duration,
-    orders: &mut mpsc::Receiver<Order>,
-    words: &mpsc::Sender<Word>,
-    mut heard: impl FnMut(Bytes, bool) -> Result<Heard, Spoilt>,
-) -> Ended {
+    line_timeout: Duration,
+    commands: &mut mpsc::Receiver<ConnectionCommand>,
+    events: &mpsc::Sender<ConnectionEvent>,
+    mut handle_line: impl FnMut(Bytes, bool) -> Result<LineOutcome, MalformedLine>,
+) -> ClosedConnection {
     let _ = stream.set_nodelay(true);
     let (read, write) = stream.into_split();
-    let mut reader =
-        Reader { half: read, buffer: BytesMut::new(), lines: LineDecoder::default(), ended: false, by: None };
-    let (waiting, under_way, by) = (Vec::new(), Vec::new(), Instant::now());
-    let mut writer = Writer { half: write, waiting, under_way, bytes: Bytes::new(), by, last: None };
-    let mut told = 0;
+    let mut reader = Reader {
+        half: read,
+        buffer: BytesMut::new(),
+        decoder: LineDecoder::default(),
+        peer_closed: false,
+        line_deadline: None,
+    };
+    let (queued, in_flight, write_deadline) = (Vec::new(), Vec::new(), Instant::now());
+    let mut writer =
+        Writer { half: write, queued, in_flight, unsent: Bytes::new(), write_deadline, last_write_at: None };
+    let mut reported_messages = 0;
     let mut replies: Vec<Bytes> = Vec::new();
-    // Nobody holds the sender any longer: what waits is written until then.
-    let mut closing = None;
-    let end = 'open: loop {
-        let mut order = tokio::select! {
-            // A peer that has closed is found out before anything is written to it.
+    // Set once the sender of the commands is dropped: queued lines are written until then.
+    let mut close_deadline = None;
+    let reason = 'open: loop {
+        let mut command = tokio::select! {
+            // Reading goes first, so that a close by the peer is detected before anything is written to it.
             biased;
-            line = reader.next(patience) => match line {
+            line = reader.next_line(line_timeout) => match line {
                 Ok(line) => {
-                    match heard(line, reader.ended) {
-                        Ok(Heard::Nothing) => {}
-                        Ok(Heard::Reply(line)) => replies.push(line),
-                        Ok(Heard::Word(word)) => {
-                            told += 1;
-                            if words.send(word).await.is_err() {
-                                break End::Ours;
+                    match handle_line(line, reader.peer_closed) {
+                        Ok(LineOutcome::Ignore) => {}
+                        Ok(LineOutcome::Reply(line)) => replies.push(line),
+                        Ok(LineOutcome::Event(event)) => {
+                            reported_messages += 1;
+                            if events.send(event).await.is_err() {
+                                break EndReason::LocalClose;
                             }
                         }
-                        Err(Spoilt) => break End::Unreadable,
+                        Err(MalformedLine) => break EndReason::ProtocolError,
                     }
-                    orders.try_recv().ok()
+                    commands.try_recv().ok()
                 }
-                Err(end) => break end,
+                Err(reason) => break reason,
             },
-            written = writer.some(), if writer.has_more() => match written {
+            written = writer.write_some(), if writer.has_unsent() => match written {
                 Ok(()) => None,
-                Err(end) => break end,
+                Err(reason) => break reason,
             },
-            order = orders.recv(), if closing.is_none() && writer.has_room() => {
-                if order.is_none() {
-                    closing = Some(Instant::now() + CLOSING);
+            command = commands.recv(), if close_deadline.is_none() && writer.has_room() => {
+                if command.is_none() {
+                    close_deadline = Some(Instant::now() + CLOSE_TIMEOUT);
                 }
-                order
+                command
             }
-            () = sleep_until(closing.unwrap_or(by)), if closing.is_some() => break End::Stuck,
+            () = sleep_until(close_deadline.unwrap_or(write_deadline)), if close_deadline.is_some() => break EndReason::WriteTimeout,
         };
-        let ordered = order.is_some();
-        while let Some(taken) = order {
-            match taken {
-                Order::Line(line) => writer.waiting.push(line),
-                Order::Last(_) => {}
-                Order::CloseIfQuiet(known) => {
-                    // The machine is asked what has come, as after a standstill nobody has yet.
+        let had_command = command.is_some();
+        while let Some(current) = command {
+            match current {
+                ConnectionCommand::SendLine(line) => writer.queued.push(line),
+                ConnectionCommand::SendAfterClose(_) => {}
+                ConnectionCommand::CloseIfIdle(processed_messages) => {
+                    // Lets the runtime poll the sockets: after a stall of the process, data may have arrived
+                    // that no task has seen yet.
                     yield_now().await;
-                    if known == told && !writer.has_more() && reader.is_quiet() {
-                        break 'open End::Ours;
+                    if processed_messages == reported_messages && !writer.has_unsent() && reader.is_idle() {
+                        break 'open EndReason::LocalClose;
                     }
                 }
             }
-            order = if writer.has_room() { orders.try_recv().ok() } else { None };
+            command = if writer.has_room() { commands.try_recv().ok() } else { None };
         }
-        if ordered {
-            // Once more the machine is asked what has come: a close that is there already is read before a line is written.
+        if had_command {
+            // Lets the runtime poll the sockets, so that a close that has already arrived is read before a
+            // line is written.
             yield_now().await;
             continue;
         }
-        // One that sends without a pause is written to all the same.
-        if writer.has_more()
-            && let Some(Err(end)) = at_once(writer.some()).await
+        // Writes even if the peer sends so fast that reading never pauses.
+        if writer.has_unsent()
+            && let Some(Err(reason)) = poll_once(writer.write_some()).await
         {
-            break end;
+            break reason;
         }
-        if closing.is_some() && !writer.has_more() {
-            break End::Ours;
+        if close_deadline.is_some() && !writer.has_unsent() {
+            break EndReason::LocalClose;
         }
     };
-    if end == End::Ours {
-        let _ = timeout(CLOSING, async {
+    if reason == EndReason::LocalClose {
+        let _ = timeout(CLOSE_TIMEOUT, async {
             let _ = writer.half.shutdown().await;
-            if writer.last.is_some_and(|at| at.elapsed() < ON_ITS_WAY) {
-                reader.pass_over().await;
+            if writer.last_write_at.is_some_and(|at| at.elapsed() < TRANSIT_TIME) {
+                reader.discard_until_close().await;
             }
         })
         .await;
     }
-    let (mut unwritten, half) = writer.unwritten();
-    let half = half.filter(|_| matches!(end, End::Closed | End::Unreadable));
-    let half = half.map(|half| (reader, half, replies));
-    if half.is_none() {
-        orders.close();
+    let (mut unwritten, half) = writer.into_unwritten();
+    let half = half.filter(|_| matches!(reason, EndReason::PeerClosed | EndReason::ProtocolError));
+    let half_open = half.map(|half| (reader, half, replies));
+    if half_open.is_none() {
+        commands.close();
     }
-    while let Ok(order) = orders.try_recv() {
-        if let Order::Line(line) = order {
+    while let Ok(command) = commands.try_recv() {
+        if let ConnectionCommand::SendLine(line) = command {
             unwritten.push(line);
         }
     }
-    Ended { end, unwritten, half }
+    ClosedConnection { reason, unwritten, half_open }
 }
 
-/// What comes of it if it need not wait.
-async fn at_once<T>(future: impl Future<Output = T>) -> Option<T> {
+/// Polls a future once and returns its output if it is ready.
+async fn poll_once<T>(future: impl Future<Output = T>) -> Option<T> {
     tokio::select! {
         biased;
-        done = future => Some(done),
+        output = future => Some(output),
         () = std::future::ready(()) => None,
     }
 }
--- /dev/null
+++ b/crates/platform-director/src/event_loop.rs
@@ -0,0 +1,272 @@
+//! The task that owns the [`Gateway`]. Events that have arrived are processed in one batch, and the resulting
+//! actions are passed to the connections without waiting for any of them.
+
+use std::collections::BTreeMap;
+use std::net::IpAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use ashglade::time::Instant;
+use ashglade_clock::Clock;
+use ashglade_platform::{Action, DownstreamId, Event, Gateway, UpstreamId};
+use bytes::Bytes;
+use tokio::net::TcpListener;
+use tokio::sync::{Semaphore, mpsc};
+use tokio::task::yield_now;
+use tracing::{debug, info, warn};
+
+use crate::connection::ConnectionCommand;
+use crate::{downstream, upstream};
+
+/// Capacity of the channel of connection events, and their maximum number in one batch. A full channel delays
+/// the tasks that read sockets and loses nothing: unread data stays in the kernel's socket buffers, and flow
+/// control slows its sender.
+const MAX_EVENTS_PER_BATCH: usize = 1024;
+/// Capacity of the channel of priority events, of which there are few.
+const PRIORITY_QUEUE_LENGTH: usize = 4;
+/// Interval of the log line with sizes and counters.
+const STATE_LOG_INTERVAL: Duration = Duration::from_secs(10);
+/// Delay before the next `accept` after a failed one, as when the process or host has no descriptor left.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Delay of a timer beyond which the process is taken to have been stalled.
+const STALL_THRESHOLD: Duration = Duration::from_millis(50);
+/// Time that connections to nodes have to write their last lines before the process exits.
+const SHUTDOWN_FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// What the tasks of connections send to the event loop.
+pub enum ConnectionEvent {
+    /// A viewer connected from this address; the sender controls the connection.
+    Opened(DownstreamId, IpAddr, mpsc::Sender<ConnectionCommand>),
+    /// An event for the gateway.
+    Gateway(Event),
+}
+
+/// Descriptors available to connections, including those that are being closed. The two limits together leave
+/// enough descriptors for the event bus and the process itself, even if all of both are in use.
+#[derive(Clone)]
+pub struct DescriptorPools {
+    pub downstream: Arc<Semaphore>,
+    pub upstream: Arc<Semaphore>,
+}
+
+impl DescriptorPools {
+    pub fn new(gateway: &Gateway) -> DescriptorPools {
+        let [downstream, upstream] = gateway.descriptor_limits();
+        DescriptorPools {
+            downstream: Arc::new(Semaphore::new(downstream)),
+            upstream: Arc::new(Semaphore::new(upstream)),
+        }
+    }
+}
+
+/// Passes events and time to the gateway, and the gateway's actions to connections.
+pub struct EventLoop {
+    gateway: Gateway,
+    clock: Clock,
+    connect_timeout: Duration,
+    descriptors: DescriptorPools,
+    connection_events: (mpsc::Sender<ConnectionEvent>, mpsc::Receiver<ConnectionEvent>),
+    /// Discovery updates and the start of a drain, which must not wait behind a flood of connections.
+    priority_events: (mpsc::Sender<Event>, mpsc::Receiver<Event>),
+    /// Viewers' connections, with the number of messages received from each.
+    downstreams: BTreeMap<DownstreamId, (mpsc::Sender<ConnectionCommand>, u64)>,
+    upstreams: BTreeMap<UpstreamId, mpsc::Sender<ConnectionCommand>>,
+    /// Events of the next batch.
+    pending_events: Vec<Event>,
+}
+
+impl EventLoop {
+    pub fn new(gateway: Gateway, clock: Clock, connect_timeout: Duration) -> EventLoop {
+        EventLoop {
+            descriptors: DescriptorPools::new(&gateway),
+            gateway,
+            clock,
+            connect_timeout,
+            connection_events: mpsc::channel(MAX_EVENTS_PER_BATCH),
+            priority_events: mpsc::channel(PRIORITY_QUEUE_LENGTH),
+            downstreams: BTreeMap::new(),
+            upstreams: BTreeMap::new(),
+            pending_events: Vec::new(),
+        }
+    }
+
+    /// Returns the channel for discovery updates and the start of a drain.
+    pub fn priority_sender(&self) -> mpsc::Sender<Event> {
+        self.priority_events.0.clone()
+    }
+
+    /// Accepts viewers' connections while descriptors are available for them. Further connections wait in the
+    /// listener's backlog.
+    pub fn accept(&self, listener: TcpListener) -> impl Future<Output = ()> + Send + 'static {
+        let (events, descriptors) = (self.connection_events.0.clone(), self.descriptors.downstream.clone());
+        let max_queued_lines = self.gateway.max_queued_lines();
+        async move {
+            let mut next_id = 0;
+            while let Ok(descriptor) = descriptors.clone().acquire_owned().await {
+                match listener.accept().await {
+                    Ok((stream, client)) => {
+                        let downstream = DownstreamId(next_id);
+                        next_id += 1;
+                        tokio::spawn(downstream::serve(
+                            downstream,
+                            client.ip(),
+                            stream,
+                            descriptor,
+                            max_queued_lines,
+                            events.clone(),
+                        ));
+                    }
+                    Err(error) => {
+                        warn!(%error, "cannot accept a connection; retrying");
+                        tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
+                    }
+                }
+            }
+        }
+    }
+
+    /// Runs until a drain has finished.
+    pub async fn run(mut self) {
+        let mut received = Vec::with_capacity(MAX_EVENTS_PER_BATCH);
+        let mut state_log = tokio::time::interval(STATE_LOG_INTERVAL);
+        loop {
+            let due =
+                if self.pending_events.is_empty() { self.gateway.next_deadline() } else { Instant::LONG_AGO };
+            let due = self.clock.to_tokio(due);
+            tokio::select! {
+                biased;
+                Some(event) = self.priority_events.1.recv() => self.pending_events.push(event),
+                _ = self.connection_events.1.recv_many(&mut received, MAX_EVENTS_PER_BATCH) => {}
+                () = tokio::time::sleep_until(due) => {
+                    if due.elapsed() > STALL_THRESHOLD {
+                        // Data that arrived during the stall is still in socket buffers. The connections read
+                        // it first, so that it is processed before the overdue timers.
+                        yield_now().await;
+                    }
+                }
+                _ = state_log.tick() => self.log_state(),
+            }
+            // Events that have arrived are processed before timers, whichever of them ended the wait.
+            while let Ok(event) = self.priority_events.1.try_recv() {
+                self.pending_events.push(event);
+            }
+            while received.len() < MAX_EVENTS_PER_BATCH
+                && let Ok(event) = self.connection_events.1.try_recv()
+            {
+                received.push(event);
+            }
+            let mut closed = Vec::new();
+            for event in received.drain(..) {
+                match event {
+                    ConnectionEvent::Opened(downstream, client, sender) => {
+                        self.downstreams.insert(downstream, (sender, 0));
+                        self.pending_events.push(Event::DownstreamOpened(downstream, client));
+                    }
+                    ConnectionEvent::Gateway(event) => {
+                        match event {
+                            Event::DownstreamMessage(downstream, _) => {
+                                if let Some((_, message_count)) = self.downstreams.get_mut(&downstream) {
+                                    *message_count += 1;
+                                }
+                            }
+                            Event::DownstreamClosed(downstream, _) => closed.push(downstream),
+                            Event::UpstreamClosed(upstream, ..) => drop(self.upstreams.remove(&upstream)),
+                            _ => {}
+                        }
+                        self.pending_events.push(event);
+                    }
+                }
+            }
+            for action in self.gateway.process(self.clock.now(), std::mem::take(&mut self.pending_events)) {
+                self.execute(action);
+            }
+            // Only now: the actions of this batch may have sent final lines to closed connections.
+            for downstream in closed {
+                self.downstreams.remove(&downstream);
+            }
+            if self.gateway.is_drained(self.clock.now()) {
+                info!("drain finished; shutting down");
+                return self.shut_down().await;
+            }
+            // Lets the connections' tasks run between two batches, even if more is due already.
+            yield_now().await;
+        }
+    }
+
+    /// Closes all connections and waits until the connections to nodes have written their last lines.
+    async fn shut_down(self) {
+        let DescriptorPools { upstream, .. } = self.descriptors;
+        let [_, upstream_limit] = self.gateway.descriptor_limits();
+        drop((self.downstreams, self.upstreams));
+        let _ =
+            tokio::time::timeout(SHUTDOWN_FLUSH_TIMEOUT, upstream.acquire_many(upstream_limit as u32)).await;
+    }
+
+    fn execute(&mut self, action: Action) {
+        match action {
+            Action::SendDownstream(downstream, line) => {
+                if let Some(line) =
+                    queue_line(self.downstreams.get(&downstream).map(|(sender, _)| sender), line)
+                {
+                    debug!(
+                        link = downstream.0,
+                        "line not queued: the queue is full or the connection has ended"
+                    );
+                    self.downstreams.remove(&downstream);
+                    self.pending_events.push(Event::DownstreamUndelivered(downstream, line));
+                }
+            }
+            Action::SendDownstreamAfterClose(downstream, line) => {
+                if let Some((connection, _)) = self.downstreams.get(&downstream) {
+                    let _ = connection.try_send(ConnectionCommand::SendAfterClose(line));
+                }
+            }
+            Action::CloseDownstream(downstream) => drop(self.downstreams.remove(&downstream)),
+            Action::CloseDownstreamIfIdle(downstream) => {
+                if let Some((connection, message_count)) = self.downstreams.get(&downstream) {
+                    let _ = connection.try_send(ConnectionCommand::CloseIfIdle(*message_count));
+                }
+            }
+            Action::ConnectUpstream(upstream, address) => {
+                let (sender, commands) = mpsc::channel(self.gateway.max_queued_lines());
+                self.upstreams.insert(upstream, sender);
+                let (descriptors, events) =
+                    (self.descriptors.upstream.clone(), self.connection_events.0.clone());
+                tokio::spawn(upstream::serve(
+                    upstream,
+                    address,
+                    self.connect_timeout,
+                    descriptors,
+                    commands,
+                    events,
+                ));
+            }
+            Action::SendUpstream(upstream, line) => {
+                if let Some(line) = queue_line(self.upstreams.get(&upstream), line) {
+                    debug!(
+                        trunk = upstream.0,
+                        "line not queued: the queue is full or the connection has ended"
+                    );
+                    self.upstreams.remove(&upstream);
+                    self.pending_events.push(Event::UpstreamUndelivered(upstream, line));
+                }
+            }
+            Action::CloseUpstream(upstream) => drop(self.upstreams.remove(&upstream)),
+        }
+    }
+
+    fn log_state(&self) {
+        let [sessions, viewers, nodes, upstreams] = self.gateway.sizes();
+        let tally = self.gateway.tally().cloned().unwrap_or_default();
+        info!(sessions, viewers, nodes, trunks = upstreams, ?tally, "state");
+    }
+}
+
+/// Queues a line on a connection. Returns the line if the queue is full or the connection has ended.
+fn queue_line(connection: Option<&mpsc::Sender<ConnectionCommand>>, line: Bytes) -> Option<Bytes> {
+    let Some(connection) = connection else { return Some(line) };
+    match connection.try_send(ConnectionCommand::SendLine(line)).err()?.into_inner() {
+        ConnectionCommand::SendLine(line) => Some(line),
+        ConnectionCommand::SendAfterClose(_) | ConnectionCommand::CloseIfIdle(_) => None,
+    }
+}
--- a/crates/platform-director/src/lib.rs
+++ b/crates/platform-director/src/lib.rs
@@ -1,11 +1,12 @@
-//! The director on the platform's sockets: a thin shell that carries bytes and time between connections and the
-//! switchboard of `ashglade_platform`. One thread; one task owns the switchboard, and what has come in is one turn.
+//! The director on the platform: passes data and time between sockets and the gateway of `ashglade_platform`.
+//! All tasks run on one thread. One task owns the gateway and processes all events that have arrived in one
+//! batch; each connection has a task of its own.
 
-mod bus;
 mod connection;
-mod hub;
-mod nodes;
-mod viewers;
+mod discovery;
+mod downstream;
+mod event_loop;
+mod upstream;
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -17,99 +18,106 @@
 use tokio::time::{Instant, sleep_until};
 use tracing::{error, info, warn};
 
-use crate::hub::Hub;
+use crate::event_loop::EventLoop;
 use ashglade_clock::Clock;
 
-/// A new configuration that can't be read is read so often, so far apart, before the one held stays in force.
-const READS: u32 = 5;
-const AGAIN: Duration = Duration::from_millis(100);
+/// Number of attempts to read a new configuration before the current one stays in force. The file may still
+/// be being written when the reload is requested.
+const CONFIG_READ_ATTEMPTS: u32 = 5;
+/// Delay between two such attempts.
+const CONFIG_READ_RETRY_DELAY: Duration = Duration::from_millis(100);
 
+/// Why the director could not start or had to stop.
 #[derive(Debug, thiserror::Error)]
-pub enum Trouble {
-    #[error("{path}: {what}")]
-    Config { path: PathBuf, what: String },
-    #[error("can't listen on {address}: {error}")]
+pub enum ServeError {
+    #[error("{path}: {message}")]
+    Config { path: PathBuf, message: String },
+    #[error("cannot listen on {address}: {error}")]
     Listen { address: std::net::SocketAddr, error: std::io::Error },
-    #[error("signals: {0}")]
+    #[error("cannot install a signal handler: {0}")]
     Signals(std::io::Error),
-    #[error("the task that owns the switchboard: {0}")]
-    Hub(tokio::task::JoinError),
+    #[error("the event loop failed: {0}")]
+    EventLoop(tokio::task::JoinError),
 }
 
-pub fn load(path: &Path) -> Result<Config, Trouble> {
-    let trouble = |what: String| Trouble::Config { path: path.to_path_buf(), what };
-    let text = std::fs::read_to_string(path).map_err(|e| trouble(e.to_string()))?;
-    Config::parse(&text).map_err(trouble)
+/// Reads and checks a configuration file.
+pub fn load(path: &Path) -> Result<Config, ServeError> {
+    let config_error = |message: String| ServeError::Config { path: path.to_path_buf(), message };
+    let text = std::fs::read_to_string(path).map_err(|error| config_error(error.to_string()))?;
+    Config::parse(&text).map_err(config_error)
 }
 
-/// Serves until the process is ended from outside, or until nothing is owed any longer after a planned end was told.
-pub async fn serve(path: &Path) -> Result<(), Trouble> {
-    // Signals first: one that comes while we start is not to end the process.
-    let mut hangup = signal(SignalKind::hangup()).map_err(Trouble::Signals)?;
-    let mut terminate = signal(SignalKind::terminate()).map_err(Trouble::Signals)?;
+/// Serves until a drain has finished or a second SIGTERM is received. The first SIGTERM starts the drain;
+/// SIGHUP reloads the configuration.
+pub async fn serve(path: &Path) -> Result<(), ServeError> {
+    // Handlers are installed first: a signal that arrives during startup must not end the process.
+    let mut hangup = signal(SignalKind::hangup()).map_err(ServeError::Signals)?;
+    let mut terminate = signal(SignalKind::terminate()).map_err(ServeError::Signals)?;
     let mut config = load(path)?;
     let address = config.listen;
-    let listener = TcpListener::bind(address).await.map_err(|error| Trouble::Listen { address, error })?;
+    let listener = TcpListener::bind(address).await.map_err(|error| ServeError::Listen { address, error })?;
     info!(name = config.name, %address, bus = %config.bus, sockets = config.limits.sockets, "serving");
 
     let clock = Clock::start();
-    let board = Gateway::new(&config, clock.now());
-    let (source, sources) = watch::channel(config.bus);
-    let known = config.known_nodes.clone().events_after(0);
-    let held = known.last().map_or(0, |event| event.offset);
+    let gateway = Gateway::new(&config, clock.now());
+    let (bus_address, bus_address_updates) = watch::channel(config.bus);
+    let known_events = config.known_nodes.clone().events_after(0);
+    let last_offset = known_events.last().map_or(0, |event| event.offset);
     let names = config.site.names.clone();
-    let news = known.into_iter().map(|event| event.into_discovery_update(&names)).collect();
-    let hub = Hub::new(board, clock, dial_timeout(&config));
-    let first = hub.first();
-    let _ = first.send(Event::DiscoveryUpdates(news)).await;
-    tokio::spawn(bus::follow(sources, held, names, first.clone()));
-    tokio::spawn(hub.accept(listener));
-    // A task like the connections': it takes its turn among them.
-    let mut hub = tokio::spawn(hub.run());
-    let mut reading = None;
-    let mut ending = false;
+    let updates = known_events.into_iter().map(|event| event.into_discovery_update(&names)).collect();
+    let event_loop = EventLoop::new(gateway, clock, connect_timeout(&config));
+    let priority_events = event_loop.priority_sender();
+    let _ = priority_events.send(Event::DiscoveryUpdates(updates)).await;
+    tokio::spawn(discovery::follow(bus_address_updates, last_offset, names, priority_events.clone()));
+    tokio::spawn(event_loop.accept(listener));
+    // A task of its own, so that the runtime schedules it in turn with the connections' tasks.
+    let mut event_loop = tokio::spawn(event_loop.run());
+    // When the configuration is read next, and the number of attempts left.
+    let mut reload = None;
+    let mut draining = false;
     loop {
         tokio::select! {
-            ended = &mut hub => return ended.map_err(Trouble::Hub),
-            _ = hangup.recv() => reading = Some((Instant::now(), READS)),
-            () = sleep_until(reading.map_or_else(Instant::now, |(at, _)| at)), if reading.is_some() => {
-                reading = match (load(path), reading) {
-                    (Ok(new), _) => {
-                        let waits = new.fields_requiring_restart(&config);
-                        info!(bus = %new.bus, "configuration read anew");
-                        if !waits.is_empty() {
-                            warn!(fields = waits.join(", "), "read anew, but in force from the next start on");
+            result = &mut event_loop => return result.map_err(ServeError::EventLoop),
+            _ = hangup.recv() => reload = Some((Instant::now(), CONFIG_READ_ATTEMPTS)),
+            () = sleep_until(reload.map_or_else(Instant::now, |(at, _)| at)), if reload.is_some() => {
+                reload = match (load(path), reload) {
+                    (Ok(new_config), _) => {
+                        let unapplied_fields = new_config.fields_requiring_restart(&config);
+                        info!(bus = %new_config.bus, "configuration reloaded");
+                        if !unapplied_fields.is_empty() {
+                            warn!(fields = unapplied_fields.join(", "), "changed fields take effect only after a restart");
                         }
-                        let _ = source.send(new.bus);
-                        config.bus = new.bus;
+                        let _ = bus_address.send(new_config.bus);
+                        config.bus = new_config.bus;
                         None
                     }
-                    // Whoever writes it may not have done yet.
-                    (Err(trouble), Some((_, more))) if more > 1 => {
-                        warn!(%trouble, "the new configuration is read again in a moment");
-                        Some((Instant::now() + AGAIN, more - 1))
+                    // The file may still be being written.
+                    (Err(error), Some((_, attempts_left))) if attempts_left > 1 => {
+                        warn!(trouble = %error, "cannot read the new configuration; retrying");
+                        Some((Instant::now() + CONFIG_READ_RETRY_DELAY, attempts_left - 1))
                     }
-                    (Err(trouble), _) => {
-                        error!(%trouble, "the configuration held stays in force");
+                    (Err(error), _) => {
+                        error!(trouble = %error, "cannot read the new configuration; the current one stays in force");
                         None
                     }
                 };
             }
             _ = terminate.recv() => {
-                if ending {
-                    info!("ended at once, as told twice");
+                if draining {
+                    info!("second SIGTERM received; exiting without finishing the drain");
                     return Ok(());
                 }
-                ending = true;
-                info!("a planned end is near");
-                let first = first.clone();
-                // The hub must go on taking events while this one waits for room.
-                tokio::spawn(async move { first.send(Event::DrainStarted).await });
+                draining = true;
+                info!("SIGTERM received; draining");
+                let priority_events = priority_events.clone();
+                // In a task of its own: this one must not block while the channel is full.
+                tokio::spawn(async move { priority_events.send(Event::DrainStarted).await });
             }
         }
     }
 }
 
-fn dial_timeout(config: &Config) -> Duration {
+/// Returns the time after which a connection to a node has failed, bounded to between 1 ms and 60 s.
+fn connect_timeout(config: &Config) -> Duration {
     Duration::from_secs_f64((config.site.connect_timeout.as_ms() / 1e3).clamp(0.001, 60.0))
 }
