--- a/crates/cli/tests/answers.rs
+++ b/crates/cli/tests/answers.rs
@@ -1,177 +1,188 @@
-//! A request that was taken is answered once, whole: in whatever pieces it comes, whatever others send meanwhile, and also
-//! where its sender closes its half of the connection right behind it.
+//! A received request gets exactly one complete answer: in whatever pieces it arrives, whatever others send
+//! meanwhile, and also if its sender shuts down its sending half right behind it.
 
 use std::io::Write;
 use std::net::Shutdown;
 use std::sync::Arc;
 
 #[allow(dead_code)]
-mod stage;
-use stage::{Bus, Node, PATIENCE, Program, ScriptedNode, Viewer, endpoint, start, told};
+mod support;
+use support::{Bus, Node, Program, ScriptedNode, TIMEOUT, Viewer, endpoint, endpoint_at, setup_line};
 
-fn tag(tag: u64) -> String {
+fn tag_text(tag: u64) -> String {
     format!("{tag:016x}")
 }
 
-/// A SETUP may take all the time that its viewer has.
-fn patient(nodes: &str) -> Program {
-    begun_with(nodes, |text| text.replace("retryable", "fragile"))
+/// Starts a program in which a SETUP may take the whole setup timeout.
+fn start_with_long_setups(nodes: &str) -> Program {
+    start_with(nodes, |text| text.replace("retryable", "fragile"))
 }
 
-fn begun(nodes: &str) -> Program {
-    begun_with(nodes, |text| text)
+fn start(nodes: &str) -> Program {
+    start_with(nodes, |text| text)
 }
 
-fn begun_with(nodes: &str, change: impl Fn(String) -> String) -> Program {
+/// Starts a program that knows these nodes and has passed a health check.
+fn start_with(nodes: &str, change: impl Fn(String) -> String) -> Program {
     let bus = Arc::new(Bus::default());
-    let (address, asked) = bus.serve();
-    // No pace of cold nodes is in the way here.
+    let (address, polls) = bus.serve();
+    // Slow start does not limit the SETUPs here.
     let program = Program::start_with(address, |text| {
         change(text.replace(r#""kindStreams": [200]"#, r#""kindStreams": [90000]"#))
     });
-    bus.tell(nodes, true);
-    while asked.recv_timeout(PATIENCE).unwrap() < 1 {}
-    assert!(Viewer::connect(program.listen).tested().contains(r#""rc":1"#));
+    bus.publish(nodes, true);
+    while polls.recv_timeout(TIMEOUT).unwrap() < 1 {}
+    assert!(Viewer::connect(program.listen).health_check().contains(r#""rc":1"#));
     program
 }
 
-fn half_closes(viewer: &mut Viewer) {
+fn shut_down_sending(viewer: &mut Viewer) {
     viewer.reader.get_ref().shutdown(Shutdown::Write).unwrap();
 }
 
-/// All that still comes, until the connection ends.
-fn rest(viewer: &mut Viewer) -> Vec<String> {
-    std::iter::from_fn(|| Some(viewer.hears()).filter(|line| !line.is_empty())).collect()
+/// Returns all lines received until the connection ends.
+fn remaining_lines(viewer: &mut Viewer) -> Vec<String> {
+    std::iter::from_fn(|| Some(viewer.receive()).filter(|line| !line.is_empty())).collect()
 }
 
 #[test]
-fn a_request_in_pieces_of_any_size_with_others_between_is_answered_once() {
+fn a_request_in_pieces_with_other_requests_in_between_is_answered_once() {
     let node = Node::start();
-    let program = begun(&endpoint("n1", &node, 0));
-    let (mut slow, mut quick) = (Viewer::connect(program.listen), Viewer::connect(program.listen));
-    slow.reader.get_ref().set_nodelay(true).unwrap();
+    let program = start(&endpoint("n1", &node, 0));
+    let (mut fragmented, mut other_viewer) =
+        (Viewer::connect(program.listen), Viewer::connect(program.listen));
+    fragmented.reader.get_ref().set_nodelay(true).unwrap();
     for (n, size) in [1, 2, 3, 7, 64, 150].into_iter().enumerate() {
-        let (ours, others) = (1 + n as u64, 1000 * (1 + n as u64));
-        // A second request begins in the last piece of the first.
-        let line = format!("{}\n{}\n", start(ours, "7f", 0, 1), start(100 + ours, "7f", 0, 1));
+        let (first_tag, other_tags) = (1 + n as u64, 1000 * (1 + n as u64));
+        // The last piece of the first request may also hold the start of the second.
+        let line =
+            format!("{}\n{}\n", setup_line(first_tag, "7f", 0, 1), setup_line(100 + first_tag, "7f", 0, 1));
         let pieces: Vec<&[u8]> = line.as_bytes().chunks(size).collect();
         for (k, piece) in pieces.iter().enumerate() {
-            slow.reader.get_mut().write_all(piece).unwrap();
+            fragmented.reader.get_mut().write_all(piece).unwrap();
             if k % (pieces.len() / 4).max(1) == 0 {
-                let other = others + k as u64;
-                quick.asks(other, "7f");
-                assert!(quick.hears().contains(&tag(other)));
+                let other_tag = other_tags + k as u64;
+                other_viewer.request_session(other_tag, "7f");
+                assert!(other_viewer.receive().contains(&tag_text(other_tag)));
             }
         }
-        for asked in [ours, 100 + ours] {
-            let answer = slow.hears();
-            assert!(answer.contains("STARTED") && answer.contains(&tag(asked)), "in {size}s: {answer}");
+        for tag in [first_tag, 100 + first_tag] {
+            let answer = fragmented.receive();
+            assert!(
+                answer.contains("STARTED") && answer.contains(&tag_text(tag)),
+                "in pieces of {size} bytes: {answer}"
+            );
         }
-        slow.cancels(ours);
-        slow.cancels(100 + ours);
+        fragmented.release(first_tag);
+        fragmented.release(100 + first_tag);
     }
-    half_closes(&mut slow);
-    assert_eq!(rest(&mut slow), Vec::<String>::new(), "a second answer");
-    let heard: Vec<String> = node.heard.try_iter().filter(|line| line.contains("START")).collect();
+    shut_down_sending(&mut fragmented);
+    assert_eq!(remaining_lines(&mut fragmented), Vec::<String>::new(), "more than one answer");
+    let setups: Vec<String> = node.received.try_iter().filter(|line| line.contains("START")).collect();
     for n in 1..=6 {
-        assert_eq!(heard.iter().filter(|line| line.contains(&tag(n))).count(), 1, "{n}");
+        assert_eq!(setups.iter().filter(|line| line.contains(&tag_text(n))).count(), 1, "{n}");
     }
 }
 
-/// The close has come with the request, or while its SETUP is out: refused in the one case, as nothing ran, and failed in the
-/// other. Either way it reaches no node any longer, and its sender has its answer.
+/// If the shutdown arrives together with the request, the request is refused, as no SETUP was sent. If it
+/// arrives while a SETUP is in progress, the request fails. Either way the sender gets its answer and no
+/// session is left at a node.
 #[test]
-fn a_request_with_the_close_of_its_half_right_behind_is_answered_once() {
+fn a_request_followed_by_a_shutdown_of_the_sending_half_is_answered_once() {
     let node = ScriptedNode::start();
-    let program = begun(&told("n1", node.address, 0));
+    let program = start(&endpoint_at("n1", node.address, 0));
     let mut viewer = Viewer::connect(program.listen);
-    program.stands_still();
-    viewer.asks(1, "7f");
-    half_closes(&mut viewer);
-    viewer.ends().is_closed();
-    program.goes_on();
-    let answers = rest(&mut viewer);
+    program.suspend();
+    viewer.request_session(1, "7f");
+    shut_down_sending(&mut viewer);
+    viewer.addresses().wait_for_close();
+    program.resume();
+    let answers = remaining_lines(&mut viewer);
     assert!(
-        answers.len() == 1 && answers[0].contains(&tag(1)) && answers[0].contains(r#""rc":42"#),
+        answers.len() == 1 && answers[0].contains(&tag_text(1)) && answers[0].contains(r#""rc":42"#),
         "{answers:?}"
     );
 
     let mut viewer = Viewer::connect(program.listen);
-    viewer.asks(2, "7f");
-    let mut peer = node.accepts();
-    let line = peer.hears();
-    assert!(line.contains("START") && line.contains(&tag(2)), "{line}");
-    half_closes(&mut viewer);
-    let answers = rest(&mut viewer);
+    viewer.request_session(2, "7f");
+    let mut peer = node.accept();
+    let line = peer.receive();
+    assert!(line.contains("START") && line.contains(&tag_text(2)), "{line}");
+    shut_down_sending(&mut viewer);
+    let answers = remaining_lines(&mut viewer);
     assert!(
-        answers.len() == 1 && answers[0].contains(&tag(2)) && answers[0].contains(r#""rc":41"#),
+        answers.len() == 1 && answers[0].contains(&tag_text(2)) && answers[0].contains(r#""rc":41"#),
         "{answers:?}"
     );
-    let line = peer.hears();
-    assert!(line.contains("FINISH") && line.contains(&tag(2)), "{line}");
+    let line = peer.receive();
+    assert!(line.contains("FINISH") && line.contains(&tag_text(2)), "{line}");
 }
 
-/// One connection carries the set-ups of many viewers: what one of them spoils costs the others no answer.
+/// A connection may carry the requests of many viewers: a malformed line from one of them must not cost the
+/// others their answers.
 #[test]
-fn a_line_that_cant_be_read_leaves_no_open_request_without_an_answer() {
-    for spoilt in ["{\"verb\":", "\"\u{1}\"", &"x".repeat(40_000)] {
+fn a_malformed_line_leaves_no_open_request_without_an_answer() {
+    for malformed in ["{\"verb\":", "\"\u{1}\"", &"x".repeat(40_000)] {
         let node = ScriptedNode::start();
-        let program = begun(&told("n1", node.address, 0));
+        let program = start(&endpoint_at("n1", node.address, 0));
         let mut viewer = Viewer::connect(program.listen);
-        viewer.asks(1, "7f");
-        viewer.asks(2, "7f");
-        let mut peer = node.accepts();
-        assert!(peer.hears().contains("START") && peer.hears().contains("START"));
-        // A sender of this much may be told to stop before it is done.
-        let _ = viewer.reader.get_mut().write_all(format!("{spoilt}\n").as_bytes());
-        let mut answers = rest(&mut viewer);
+        viewer.request_session(1, "7f");
+        viewer.request_session(2, "7f");
+        let mut peer = node.accept();
+        assert!(peer.receive().contains("START") && peer.receive().contains("START"));
+        // The program may close the connection before all of a long line is written.
+        let _ = viewer.reader.get_mut().write_all(format!("{malformed}\n").as_bytes());
+        let mut answers = remaining_lines(&mut viewer);
         answers.sort();
         assert_eq!(answers.len(), 2, "{answers:?}");
         for (answer, n) in answers.iter().zip(1..) {
-            assert!(answer.contains("FINISH") && answer.contains(&tag(n)), "{answer}");
+            assert!(answer.contains("FINISH") && answer.contains(&tag_text(n)), "{answer}");
         }
-        assert!(peer.hears().contains("FINISH") && peer.hears().contains("FINISH"));
+        assert!(peer.receive().contains("FINISH") && peer.receive().contains("FINISH"));
     }
 }
 
-/// A front that carries all of its viewers on one connection, and a node that ends with all of their sessions: each answer and
-/// each release arrives, however many there are.
+/// A front carries all of its viewers on one connection, and the node where they play fails: each answer and
+/// each release must arrive, however many there are.
 #[test]
-fn fourteen_hundred_sessions_on_one_connection_have_each_its_answer_and_its_release() {
-    const MANY: u64 = 1_400;
+fn each_of_1400_sessions_on_one_connection_gets_its_answer_and_its_release() {
+    const SESSION_COUNT: u64 = 1_400;
     let node = ScriptedNode::start();
-    let program = patient(&told("n1", node.address, 0).replace(r#""weight":9"#, r#""weight":90000"#));
+    let program = start_with_long_setups(
+        &endpoint_at("n1", node.address, 0).replace(r#""weight":9"#, r#""weight":90000"#),
+    );
     let mut front = Viewer::connect(program.listen);
-    program.stands_still();
-    let lines: Vec<String> = (1..=MANY).map(|n| start(n, "7f", 0, 1)).collect();
+    program.suspend();
+    let lines: Vec<String> = (1..=SESSION_COUNT).map(|n| setup_line(n, "7f", 0, 1)).collect();
     let mut writer = front.reader.get_ref().try_clone().unwrap();
-    let sends = std::thread::spawn(move || writer.write_all((lines.join("\n") + "\n").as_bytes()).unwrap());
-    program.goes_on();
-    let mut peer = node.accepts();
-    let mut stand = 0;
-    // All are asked for before the first stands.
-    let tags: Vec<String> = (0..MANY)
+    let writer_thread =
+        std::thread::spawn(move || writer.write_all((lines.join("\n") + "\n").as_bytes()).unwrap());
+    program.resume();
+    let mut peer = node.accept();
+    let mut started = 0;
+    // All SETUPs are received before the first is answered.
+    let tags: Vec<String> = (0..SESSION_COUNT)
         .map(|_| {
-            let line = peer.hears();
-            let at = line.find(r#""tag":""#).unwrap() + 7;
-            line[at..at + 16].to_string()
+            let line = peer.receive();
+            let tag_start = line.find(r#""tag":""#).unwrap() + 7;
+            line[tag_start..tag_start + 16].to_string()
         })
         .collect();
-    sends.join().unwrap();
-    program.stands_still();
+    writer_thread.join().unwrap();
+    program.suspend();
     for tag in &tags {
-        peer.says(&format!(r#"{{"verb":"STARTED","tag":"{tag}","opts":{{}},"blob":"m=1"}}"#));
+        peer.send_line(&format!(r#"{{"verb":"STARTED","tag":"{tag}","opts":{{}},"blob":"m=1"}}"#));
     }
-    program.goes_on();
-    for _ in 0..MANY {
-        stand += u64::from(front.hears().contains("STARTED"));
+    program.resume();
+    for _ in 0..SESSION_COUNT {
+        started += u64::from(front.receive().contains("STARTED"));
     }
-    assert_eq!(stand, MANY);
-    // Its process ends.
+    assert_eq!(started, SESSION_COUNT);
+    // The process of the node ends.
     drop(node);
-    peer.resets();
-    let mut over: Vec<String> = (0..MANY).map(|_| front.hears()).collect();
-    over.sort();
-    over.dedup();
-    assert_eq!(over.iter().filter(|line| line.contains("FINISH")).count() as u64, MANY);
+    peer.reset();
+    let mut releases: Vec<String> = (0..SESSION_COUNT).map(|_| front.receive()).collect();
+    releases.sort();
+    releases.dedup();
+    assert_eq!(releases.iter().filter(|line| line.contains("FINISH")).count() as u64, SESSION_COUNT);
 }
