--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -159,9 +159,9 @@
     expect_test::expect![[r#"
         Some(1) ashglade: /config.json: missing field `name` at line 1 column 2
         Some(1) ashglade: /config.json: seed: "x" is not a number of up to 16 hex digits
-        Some(1) ashglade: /config.json: limits.sockets: 4 are too few to serve with
+        Some(1) ashglade: /config.json: limits.sockets: 4 is below the minimum of 16
         Some(1) ashglade: /config.json: settings: services[0].aim: invalid type: string "soon", expected f64 at line 6 column 51
         Some(1) ashglade: /config.json: settings: services[0].effect: unknown variant `sometimes`, expected one of `retryable`, `dedup`, `fragile` at line 6 column 102
-        Some(1) ashglade: /config.json: limits.memory_mb: 0 leave no room to serve in
+        Some(1) ashglade: /config.json: limits.memory_mb: 0 is not above 0
     "#]].assert_eq(&errors.concat());
 }
