--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -95,8 +95,11 @@
                 Ok(runtime) => runtime,
                 Err(error) => return fail(error),
             };
-            let result =
-                runtime.block_on(ashglade_director::serve(Options { settings, record, defect: None }));
+            let result = runtime.block_on(ashglade_director::serve(Options {
+                settings,
+                record,
+                injected_fault: None,
+            }));
             // Does not wait for tasks that are blocked on a socket.
             runtime.shutdown_background();
             result.map_or_else(fail, |()| ExitCode::SUCCESS)
@@ -168,7 +171,7 @@
 /// Returns the text of `ashglade show`.
 fn peer_status(settings_path: &std::path::Path) -> Result<String, String> {
     let (settings, ..) = ashglade_director::load(settings_path).map_err(|error| error.to_string())?;
-    let status_path = ashglade_director::shared_view(&settings, settings_path)
+    let status_path = ashglade_director::peer_status_path(&settings, settings_path)
         .ok_or("the settings have no talk.share.view, the file of the status")?;
     let (status, age) = read_status::<ashglade_peer_transport::PeerStatus>(&status_path)?;
     Ok(format!("status written {age:.0} s ago\n{status}"))
@@ -177,7 +180,7 @@
 /// Returns the text of `ashglade door`.
 fn admission_status(settings_path: &std::path::Path) -> Result<String, String> {
     let (settings, ..) = ashglade_director::load(settings_path).map_err(|error| error.to_string())?;
-    let status_path = ashglade_director::door_view(&settings, settings_path)
+    let status_path = ashglade_director::admission_status_path(&settings, settings_path)
         .ok_or("the settings have no door.view, the file of the status")?;
     let (status, age) = read_status::<ashglade_engine::AdmissionStatus>(&status_path)?;
     let mut text = format!(
@@ -208,7 +211,7 @@
     let (settings, ..) = ashglade_director::load(settings_path).map_err(|error| error.to_string())?;
     let text = std::fs::read_to_string(record_path)
         .map_err(|error| format!("{}: {error}", record_path.display()))?;
-    ashglade_engine::record::replay(ashglade_director::replay_start(&settings), &text)
+    ashglade_engine::record::replay(ashglade_director::engine_config(&settings), &text)
         .map_err(|error| format!("{}: {error}", record_path.display()))
 }
 
