--- a/crates/rtsp/src/client.rs
+++ b/crates/rtsp/src/client.rs
@@ -1,6 +1,6 @@
-//! The node's side of one session as a state machine (RFC 2326, A.1), without I/O: it makes the requests, knows what
-//! each answer is for, and tells what is overdue. It has a way out of every state: an answer, the time-out of one, or
-//! the end of the connection.
+//! The RTSP client state machine (RFC 2326, A.1) of one session at a media node, without I/O. It builds requests, matches
+//! responses to them and detects overdue responses. Every state can be left: by a response, by the timeout of a response
+//! or by the end of the connection.
 
 use std::collections::VecDeque;
 
@@ -10,7 +10,7 @@
 use crate::messages::{self, Channels};
 use crate::{Request, Response};
 
-/// What a request to a node was for.
+/// The purpose of a request to the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
     Setup {
@@ -18,7 +18,7 @@
     },
     Play,
     Pause,
-    /// A change from one rung to another.
+    /// A switch to another rung; `from` is the previous one.
     Switch {
         from: u8,
     },
@@ -27,49 +27,56 @@
 }
 
 impl Purpose {
-    /// A viewer waits for the answer.
-    fn awaited(self) -> bool {
+    /// Returns whether the viewer waits for the response.
+    fn is_viewer_waiting(self) -> bool {
         matches!(self, Purpose::Setup { .. } | Purpose::Play | Purpose::Pause)
     }
 }
 
+/// State of the session at the node (RFC 2326, A.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     Init,
     Ready,
     Playing,
-    /// Torn down, or never to be used again.
+    /// Torn down. The session can't be used again.
     Over,
 }
 
-/// What an answer means.
+/// The result of a request, derived from its response.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// It was done.
+    /// The node carried out the request.
     Done(Purpose),
-    /// The node said no, or something that can't be used.
+    /// The node rejected the request, or its response is unusable.
     Refused(Purpose, StatusCode),
-    /// Nothing waits for it.
+    /// The response matches no pending request.
     Stray,
 }
 
-/// Requests out on one connection at most: more means that the node answers nothing.
-const MOST_PENDING: usize = 8;
+/// Maximum number of pending requests on one connection. A node with more of them has stopped responding.
+const MAX_PENDING_REQUESTS: usize = 8;
 
+/// One session at a media node.
 #[derive(Debug)]
 pub struct Client {
     state: State,
-    /// The rendition that is set up, or was switched to.
+    /// URL of the rendition that was set up or last switched to.
     url: Url,
+    /// Session identifier assigned by the node.
     session: Option<String>,
-    /// Seconds after which the node forgets the session (RFC 2326, 12.37: 60 where it doesn't say).
+    /// Seconds after which the node drops an idle session. 60 if the node does not specify it (RFC 2326, 12.37).
     timeout: u32,
+    /// CSeq of the last request.
     cseq: u32,
+    /// Requests without a response, in order: CSeq, purpose and time of sending in microseconds.
     pending: VecDeque<(u32, Purpose, u64)>,
+    /// Tracks that were set up, with their interleaved channels.
     tracks: Vec<(u8, Channels)>,
 }
 
 impl Client {
+    /// Creates a client for a rendition's URL, in state [`State::Init`].
     pub fn new(url: Url) -> Client {
         let (session, pending) = (None, VecDeque::new());
         Client { state: State::Init, url, session, timeout: 60, cseq: 0, pending, tracks: Vec::new() }
@@ -79,28 +86,32 @@
         self.state
     }
 
+    /// Returns the session identifier that the node assigned.
     pub fn session(&self) -> Option<&str> {
         self.session.as_deref()
     }
 
+    /// Returns the URL of the current rendition.
     pub fn url(&self) -> &Url {
         &self.url
     }
 
+    /// Returns the node's session timeout in seconds.
     pub fn timeout(&self) -> u32 {
         self.timeout
     }
 
-    /// The track whose RTP or RTCP comes on this channel, and whether it is RTP.
+    /// Returns the track that an interleaved channel belongs to, and whether it carries RTP rather than RTCP.
     pub fn track_of(&self, channel: u8) -> Option<(u8, bool)> {
-        self.tracks.iter().find_map(|&(track, c)| match channel {
-            n if n == c.rtp => Some((track, true)),
-            n if n == c.rtcp => Some((track, false)),
+        self.tracks.iter().find_map(|&(track, channels)| match channel {
+            n if n == channels.rtp => Some((track, true)),
+            n if n == channels.rtcp => Some((track, false)),
             _ => None,
         })
     }
 
-    fn request(&mut self, method: Method, url: &Url, purpose: Purpose, now_us: u64) -> Request {
+    /// Builds a request of the session and adds it to the pending requests.
+    fn new_request(&mut self, method: Method, url: &Url, purpose: Purpose, now_us: u64) -> Request {
         self.cseq += 1;
         self.pending.push_back((self.cseq, purpose, now_us));
         let mut request = messages::request(method, url, self.cseq);
@@ -110,70 +121,75 @@
         request
     }
 
-    /// SETUP of a track; the first makes the session, others join it.
+    /// Builds a SETUP of a track. The first one creates the session, later ones add tracks to it.
     pub fn setup(&mut self, track: u8, now_us: u64) -> Request {
         let mut url = self.url.clone();
         url.set_path(&format!("{}/track{}", self.url.path().trim_end_matches('/'), track + 1));
-        let mut request = self.request(Method::Setup, &url, Purpose::Setup { track }, now_us);
+        let mut request = self.new_request(Method::Setup, &url, Purpose::Setup { track }, now_us);
         let channels = Channels { rtp: track * 2, rtcp: track * 2 + 1 };
         request.insert_header(headers::TRANSPORT, channels.granted(None));
         request
     }
 
+    /// Builds a PLAY with an optional `Range`.
     pub fn play(&mut self, range: Option<String>, now_us: u64) -> Request {
         let url = self.url.clone();
-        let mut request = self.request(Method::Play, &url, Purpose::Play, now_us);
+        let mut request = self.new_request(Method::Play, &url, Purpose::Play, now_us);
         if let Some(range) = range {
             request.insert_header(headers::RANGE, range);
         }
         request
     }
 
+    /// Builds a PAUSE.
     pub fn pause(&mut self, now_us: u64) -> Request {
         let url = self.url.clone();
-        self.request(Method::Pause, &url, Purpose::Pause, now_us)
+        self.new_request(Method::Pause, &url, Purpose::Pause, now_us)
     }
 
-    /// Another rendition within the session (3GPP TS 26.234's stream switch): no second SETUP.
+    /// Builds a switch from rung `from` to the rendition at `to` within the session (stream switch of 3GPP TS 26.234),
+    /// which needs no second SETUP.
     pub fn switch(&mut self, from: u8, to: Url, now_us: u64) -> Request {
         let value = messages::switch_value(&self.url, &to);
         let url = self.url.clone();
-        let mut request = self.request(Method::Play, &url, Purpose::Switch { from }, now_us);
+        let mut request = self.new_request(Method::Play, &url, Purpose::Switch { from }, now_us);
         request.insert_header(messages::switch_stream(), value);
         self.url = to;
         request
     }
 
-    /// Keeps the session alive and asks for load (RFC 2326, 10.8); none while too much is unanswered.
+    /// Builds a GET_PARAMETER that keeps the session alive and requests the node's load (RFC 2326, 10.8). Returns `None`
+    /// while the number of pending requests is at its limit.
     pub fn keep_alive(&mut self, now_us: u64) -> Option<Request> {
-        if self.pending.len() >= MOST_PENDING {
+        if self.pending.len() >= MAX_PENDING_REQUESTS {
             return None;
         }
         let url = self.url.clone();
-        Some(self.request(Method::GetParameter, &url, Purpose::KeepAlive, now_us))
+        Some(self.new_request(Method::GetParameter, &url, Purpose::KeepAlive, now_us))
     }
 
+    /// Builds a TEARDOWN.
     pub fn teardown(&mut self, now_us: u64) -> Request {
         let url = self.url.clone();
-        self.request(Method::Teardown, &url, Purpose::Teardown, now_us)
+        self.new_request(Method::Teardown, &url, Purpose::Teardown, now_us)
     }
 
-    /// What an answer is for and what it means. Answers come in order: requests before the one that is answered
-    /// were left out by the node. What a viewer waits for among them stays, to become overdue: dropped in silence, it
-    /// would be waited for for ever.
+    /// Matches a response to its request, updates the state and returns the result. Responses arrive in order, so the
+    /// node skipped all requests before the matched one. Skipped requests that the viewer waits for remain pending until
+    /// they are overdue; otherwise the viewer would wait forever.
     pub fn answered(&mut self, response: &Response) -> Answer {
         let cseq = messages::header(response, &headers::CSEQ).and_then(|cseq| cseq.parse::<u32>().ok());
-        let Some(at) = self.pending.iter().position(|(sent, ..)| Some(*sent) == cseq) else {
+        let Some(matched) = self.pending.iter().position(|(sent, ..)| Some(*sent) == cseq) else {
             return Answer::Stray;
         };
-        let Some((_, purpose, _)) = self.pending.remove(at) else { return Answer::Stray };
-        let mut place = 0;
+        let Some((_, purpose, _)) = self.pending.remove(matched) else { return Answer::Stray };
+        let mut position = 0;
         self.pending.retain(|(_, purpose, _)| {
-            place += 1;
-            place > at || purpose.awaited()
+            position += 1;
+            position > matched || purpose.is_viewer_waiting()
         });
         if response.status() != StatusCode::Ok {
-            // TEARDOWN of what the node doesn't know is done as well.
+            // A TEARDOWN of a session that the node doesn't know has reached its goal.
             if purpose == Purpose::Teardown && response.status() == StatusCode::SessionNotFound {
                 self.state = State::Over;
                 return Answer::Done(purpose);
@@ -184,19 +200,19 @@
             Purpose::Setup { track } => {
                 let header = |name: &HeaderName| messages::header(response, name);
                 let session = header(&headers::SESSION);
-                // An answer of 200 that names no session, or another one, is a fault like any other.
+                // A 200 response without a session identifier, or with a different one, is an error.
                 let id = session.map(messages::session_id).filter(|id| !id.is_empty());
-                let known = self.session.as_deref();
-                let Some(id) = id.filter(|id| known.is_none_or(|known| known == *id)) else {
+                let current = self.session.as_deref();
+                let Some(id) = id.filter(|id| current.is_none_or(|current| current == *id)) else {
                     return Answer::Refused(purpose, StatusCode::BadGateway);
                 };
                 let timeout =
                     session.and_then(|s| s.split(';').find_map(|p| p.trim().strip_prefix("timeout=")));
                 self.timeout = timeout.and_then(|t| t.parse().ok()).unwrap_or(self.timeout);
                 self.session = Some(id.to_string());
-                let asked = Channels { rtp: track * 2, rtcp: track * 2 + 1 };
-                let granted = header(&headers::TRANSPORT).and_then(|t| messages::interleaved(t, asked));
-                self.tracks.push((track, granted.unwrap_or(asked)));
+                let requested = Channels { rtp: track * 2, rtcp: track * 2 + 1 };
+                let assigned = header(&headers::TRANSPORT).and_then(|t| messages::interleaved(t, requested));
+                self.tracks.push((track, assigned.unwrap_or(requested)));
                 self.state = State::Ready;
             }
             Purpose::Play => self.state = State::Playing,
@@ -207,10 +223,10 @@
         Answer::Done(purpose)
     }
 
-    /// A viewer waits in vain: what it asked for has had no answer for so many microseconds.
-    pub fn overdue(&self, now_us: u64, within_us: u64) -> bool {
-        self.pending
-            .iter()
-            .any(|&(_, purpose, at)| purpose.awaited() && now_us.saturating_sub(at) > within_us)
+    /// Returns whether a request that the viewer waits for has been pending for longer than `timeout_us` microseconds.
+    pub fn overdue(&self, now_us: u64, timeout_us: u64) -> bool {
+        self.pending.iter().any(|&(_, purpose, sent_us)| {
+            purpose.is_viewer_waiting() && now_us.saturating_sub(sent_us) > timeout_us
+        })
     }
 }
--- a/crates/rtsp/src/codec.rs
+++ b/crates/rtsp/src/codec.rs
@@ -1,6 +1,6 @@
-//! Requests, answers and interleaved frames, as one codec for `tokio_util`'s `Framed`. The RTSP grammar itself
-//! is read by `rtsp-types`; this file finds where a message ends, within limits, before anything is parsed, so
-//! that no peer makes us hold or scan more than the limits say.
+//! A `tokio_util` codec for RTSP requests, responses and interleaved frames. `rtsp-types` parses the messages; this
+//! module finds the end of a message before it is parsed and enforces size limits, so that a peer can't make the
+//! receiver buffer or scan more than the limits allow.
 
 use bytes::{Buf, BufMut, BytesMut};
 use rtsp_types::{Message, StatusCode};
@@ -8,15 +8,15 @@
 
 use crate::{Request, Response};
 
-/// What one message may take, in bytes.
+/// Size limits of one message, in bytes.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// The request or status line.
+    /// Length of the request line or status line.
     pub line: usize,
-    /// That line and all headers.
+    /// Total length of the first line and all headers.
     pub head: usize,
     pub body: usize,
-    /// The payload of an interleaved frame; 65,535 by the format.
+    /// Payload of an interleaved frame. The format allows up to 65,535.
     pub frame: usize,
 }
 
@@ -26,46 +26,47 @@
     }
 }
 
+/// A unit decoded from, or encoded to, an RTSP connection.
 #[derive(Debug)]
 pub enum Packet {
     Request(Request),
     Response(Response),
-    /// An interleaved frame: `$`, channel, length, payload.
+    /// An interleaved frame (RFC 2326, 10.12): `$`, channel, length, payload.
     Frame {
         channel: u8,
         payload: BytesMut,
     },
-    /// The same as it came, with its four bytes of header, from a codec that was made by [`Codec::relaying`].
+    /// An interleaved frame with its four header bytes, from a codec that was created by [`Codec::relaying`].
     Raw(BytesMut),
 }
 
-/// Bytes of a frame before its payload; the second is the channel.
+/// Length of the header of an interleaved frame, in bytes. Its second byte is the channel.
 pub const FRAME_HEADER: usize = 4;
 
-/// Why a connection can't go on. Only the connection that it came in on is concerned.
+/// An error after which a connection can't be decoded any further. Other connections are not affected.
 #[derive(Debug, thiserror::Error)]
 pub enum Fault {
-    #[error("the first line is longer than {limit} bytes")]
+    #[error("request or status line exceeds {limit} bytes")]
     LineTooLong { limit: usize },
-    #[error("the headers are longer than {limit} bytes")]
+    #[error("headers exceed {limit} bytes")]
     HeadTooLong { limit: usize },
-    #[error("a body of {length} bytes; {limit} at most")]
+    #[error("body of {length} bytes exceeds the limit of {limit} bytes")]
     BodyTooLong { length: u64, limit: usize },
-    #[error("a frame of {length} bytes on channel {channel}; {limit} at most")]
+    #[error("interleaved frame of {length} bytes on channel {channel} exceeds the limit of {limit} bytes")]
     FrameTooLong { channel: u8, length: usize, limit: usize },
-    #[error("version {found:?}; RTSP/1.0 is spoken here")]
+    #[error("unsupported version {found:?}; only RTSP/1.0 is supported")]
     Version { found: String },
     #[error("{what}, at byte {at} of the message")]
     Malformed { what: &'static str, at: usize },
-    #[error("the connection was closed within a message, {held} bytes into it")]
-    CutShort { held: usize },
+    #[error("connection closed inside a message, after {received_bytes} bytes of it")]
+    CutShort { received_bytes: usize },
     #[error(transparent)]
     Io(#[from] std::io::Error),
 }
 
 impl Fault {
-    /// The answer that can still be given before the connection is closed; none where the peer is not in the
-    /// middle of a request that it could read the answer to.
+    /// Returns the status to respond with before the connection is closed, or `None` where the error does not concern
+    /// a request that the peer awaits a response to.
     pub fn status(&self) -> Option<StatusCode> {
         match self {
             Fault::LineTooLong { .. } => Some(StatusCode::RequestURITooLong),
@@ -79,18 +80,19 @@
     }
 }
 
+/// Encoder and decoder of an RTSP connection with interleaved frames.
 #[derive(Debug, Default)]
 pub struct Codec {
     limits: Limits,
-    /// How far the bytes held were searched for the end of the headers: one look at each byte, however
-    /// slowly they come.
-    searched: usize,
-    /// The whole length of the message that the held bytes begin, once its headers are in.
-    whole: Option<usize>,
-    /// Nothing after a fault is read.
-    broken: bool,
-    /// Frames keep their headers.
-    raw: bool,
+    /// Number of buffered bytes that were already searched for the end of the headers. Each byte is searched once, even
+    /// if the peer sends them one by one.
+    searched_bytes: usize,
+    /// Total length of the message at the start of the buffer, known once all its headers have arrived.
+    message_length: Option<usize>,
+    /// Set by the first error; no input is decoded after it.
+    failed: bool,
+    /// Frames are returned as [`Packet::Raw`].
+    raw_frames: bool,
 }
 
 impl Codec {
@@ -98,13 +100,13 @@
         Codec { limits, ..Codec::default() }
     }
 
-    /// One that gives frames as they came: those that follow each other lie side by side, so that a relay can pass them
-    /// on together without copying them.
+    /// Creates a codec that returns frames with their headers, as [`Packet::Raw`]. Consecutive frames stay contiguous
+    /// in memory, so that a relay can forward them together without a copy.
     pub fn relaying() -> Codec {
-        Codec { raw: true, ..Codec::default() }
+        Codec { raw_frames: true, ..Codec::default() }
     }
 
-    fn frame(&self, src: &mut BytesMut) -> Result<Option<Packet>, Fault> {
+    fn decode_frame(&self, src: &mut BytesMut) -> Result<Option<Packet>, Fault> {
         if src.len() < 4 {
             return Ok(None);
         }
@@ -116,76 +118,77 @@
             src.reserve(4 + length - src.len());
             return Ok(None);
         }
-        if self.raw {
+        if self.raw_frames {
             return Ok(Some(Packet::Raw(src.split_to(FRAME_HEADER + length))));
         }
         src.advance(FRAME_HEADER);
         Ok(Some(Packet::Frame { channel, payload: src.split_to(length) }))
     }
 
-    /// The length of headers and body, once all headers are held.
-    fn measure(&mut self, src: &BytesMut) -> Result<Option<usize>, Fault> {
-        let from = self.searched.saturating_sub(3);
+    /// Returns the total length of headers and body once all headers are buffered.
+    fn measure_message(&mut self, src: &BytesMut) -> Result<Option<usize>, Fault> {
+        let from = self.searched_bytes.saturating_sub(3);
         let end = src[from..].windows(4).position(|four| four == b"\r\n\r\n").map(|at| from + at + 4);
-        self.searched = src.len();
-        let held = &src[..end.unwrap_or(src.len()).min(self.limits.head + 1)];
-        let line = held.windows(2).position(|two| two == b"\r\n");
-        if line.unwrap_or(held.len()) > self.limits.line {
+        self.searched_bytes = src.len();
+        let head = &src[..end.unwrap_or(src.len()).min(self.limits.head + 1)];
+        let line = head.windows(2).position(|two| two == b"\r\n");
+        if line.unwrap_or(head.len()) > self.limits.line {
             return Err(Fault::LineTooLong { limit: self.limits.line });
         }
         if let Some(line) = line {
-            version(&held[..line])?;
+            check_version(&head[..line])?;
         }
-        if held.len() > self.limits.head {
+        if head.len() > self.limits.head {
             return Err(Fault::HeadTooLong { limit: self.limits.head });
         }
         let Some(end) = end else { return Ok(None) };
-        let length = content_length(&src[..end])?;
+        let length = parse_content_length(&src[..end])?;
         if length > self.limits.body as u64 {
             return Err(Fault::BodyTooLong { length, limit: self.limits.body });
         }
         Ok(Some(end + length as usize))
     }
 
-    fn message(&mut self, src: &mut BytesMut) -> Result<Option<Packet>, Fault> {
-        if self.whole.is_none() {
-            self.whole = self.measure(src)?;
+    fn decode_message(&mut self, src: &mut BytesMut) -> Result<Option<Packet>, Fault> {
+        if self.message_length.is_none() {
+            self.message_length = self.measure_message(src)?;
         }
-        let Some(whole) = self.whole else { return Ok(None) };
-        if src.len() < whole {
-            src.reserve(whole - src.len());
+        let Some(message_length) = self.message_length else { return Ok(None) };
+        if src.len() < message_length {
+            src.reserve(message_length - src.len());
             return Ok(None);
         }
-        (self.whole, self.searched) = (None, 0);
-        let bytes = src.split_to(whole);
-        let (message, used) = Message::<Vec<u8>>::parse(&bytes[..])
-            .map_err(|_| Fault::Malformed { what: "neither a request nor an answer", at: 0 })?;
-        if used != whole {
-            return Err(Fault::Malformed { what: "bytes left over after the body", at: used });
+        (self.message_length, self.searched_bytes) = (None, 0);
+        let bytes = src.split_to(message_length);
+        let (message, consumed) = Message::<Vec<u8>>::parse(&bytes[..])
+            .map_err(|_| Fault::Malformed { what: "not a valid RTSP request or response", at: 0 })?;
+        if consumed != message_length {
+            return Err(Fault::Malformed { what: "unexpected bytes after the body", at: consumed });
         }
         match message {
             Message::Request(request) => Ok(Some(Packet::Request(request))),
             Message::Response(response) => Ok(Some(Packet::Response(response))),
-            Message::Data(_) => Err(Fault::Malformed { what: "a frame within a message", at: 0 }),
+            Message::Data(_) => Err(Fault::Malformed { what: "interleaved frame inside a message", at: 0 }),
         }
     }
 }
 
-/// Another version than 1.0 in a request or status line that is otherwise shaped like one.
-fn version(line: &[u8]) -> Result<(), Fault> {
+/// Checks that the first line has the shape of a request line or status line and names version 1.0.
+fn check_version(line: &[u8]) -> Result<(), Fault> {
     let words: Vec<&[u8]> = line.split(|&b| b == b' ').collect();
-    let named = match words.as_slice() {
+    let version = match words.as_slice() {
         [first, ..] if first.starts_with(b"RTSP/") => first,
         [_, _, last] if last.starts_with(b"RTSP/") => last,
-        _ => return Err(Fault::Malformed { what: "the first line is no RTSP request or answer", at: 0 }),
+        _ => return Err(Fault::Malformed { what: "not an RTSP request line or status line", at: 0 }),
     };
-    if *named == b"RTSP/1.0" {
+    if *version == b"RTSP/1.0" {
         return Ok(());
     }
-    Err(Fault::Version { found: String::from_utf8_lossy(named).into_owned() })
+    Err(Fault::Version { found: String::from_utf8_lossy(version).into_owned() })
 }
 
-fn content_length(head: &[u8]) -> Result<u64, Fault> {
+/// Returns the value of `Content-Length`, or 0 if the header is missing. Rejects repeated headers whose values differ.
+fn parse_content_length(head: &[u8]) -> Result<u64, Fault> {
     let mut length = None;
     let mut at = 0;
     for line in head.split(|&b| b == b'\n') {
@@ -193,13 +196,13 @@
             && line[..colon].trim_ascii().eq_ignore_ascii_case(b"content-length")
         {
             let digits = line[colon + 1..].trim_ascii();
-            let bad = Fault::Malformed { what: "a Content-Length that is no number", at: at + colon + 1 };
+            let invalid = Fault::Malformed { what: "Content-Length is not a number", at: at + colon + 1 };
             if digits.is_empty() || digits.len() > 18 || !digits.iter().all(u8::is_ascii_digit) {
-                return Err(bad);
+                return Err(invalid);
             }
             let value = digits.iter().fold(0, |sum, &d| sum * 10 + u64::from(d - b'0'));
-            if length.is_some_and(|before| before != value) {
-                return Err(Fault::Malformed { what: "two Content-Length headers that differ", at });
+            if length.is_some_and(|previous| previous != value) {
+                return Err(Fault::Malformed { what: "conflicting Content-Length headers", at });
             }
             length = Some(value);
         }
@@ -213,27 +216,27 @@
     type Error = Fault;
 
     fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Packet>, Fault> {
-        if self.broken {
+        if self.failed {
             src.clear();
             return Ok(None);
         }
-        // Empty lines before a message are passed over (RFC 2326, 4.1).
-        if self.whole.is_none() && self.searched == 0 {
+        // Empty lines before a message are ignored (RFC 2326, 4.1).
+        if self.message_length.is_none() && self.searched_bytes == 0 {
             let blank = src.iter().take_while(|&&b| b == b'\r' || b == b'\n').count();
             src.advance(blank);
         }
         if src.is_empty() {
             return Ok(None);
         }
-        let got = if src[0] == b'$' { self.frame(src) } else { self.message(src) };
-        self.broken = got.is_err();
-        got
+        let decoded = if src[0] == b'$' { self.decode_frame(src) } else { self.decode_message(src) };
+        self.failed = decoded.is_err();
+        decoded
     }
 
     fn decode_eof(&mut self, src: &mut BytesMut) -> Result<Option<Packet>, Fault> {
         match self.decode(src)? {
-            None if !src.is_empty() => Err(Fault::CutShort { held: src.len() }),
-            got => Ok(got),
+            None if !src.is_empty() => Err(Fault::CutShort { received_bytes: src.len() }),
+            packet => Ok(packet),
         }
     }
 }
@@ -242,10 +245,10 @@
     type Error = Fault;
 
     fn encode(&mut self, packet: Packet, dst: &mut BytesMut) -> Result<(), Fault> {
-        let failed = |_| Fault::Malformed { what: "a message that can't be written", at: 0 };
+        let write_error = |_| Fault::Malformed { what: "message can't be serialized", at: 0 };
         match packet {
-            Packet::Request(request) => request.write(&mut dst.writer()).map_err(failed),
-            Packet::Response(response) => response.write(&mut dst.writer()).map_err(failed),
+            Packet::Request(request) => request.write(&mut dst.writer()).map_err(write_error),
+            Packet::Response(response) => response.write(&mut dst.writer()).map_err(write_error),
             Packet::Raw(bytes) => {
                 dst.extend_from_slice(&bytes);
                 Ok(())
--- a/crates/rtsp/src/digest.rs
+++ b/crates/rtsp/src/digest.rs
@@ -1,29 +1,30 @@
-//! Digest access authentication (RFC 2617, 3) as RTSP takes it over (RFC 2326, D.1): MD5, without and with
-//! `qop=auth`. A nonce belongs to one connection, so that what is overheard on one is of no use on another.
+//! Digest access authentication (RFC 2617, section 3) as used by RTSP (RFC 2326, D.1): MD5, with or without `qop=auth`.
+//! Each connection has its own nonce, so that a response captured on one connection can't be replayed on another.
 
 use md5::{Digest as _, Md5};
 use rtsp_types::Method;
 
-/// Who may come in.
+/// The realm and the users that may connect.
 #[derive(Clone, Debug, Default)]
 pub struct Users {
     pub realm: String,
-    /// Names and passwords.
+    /// Pairs of user name and password.
     pub users: Vec<(String, String)>,
 }
 
-fn hash(text: &str) -> String {
+/// Returns the MD5 digest of a text in lower-case hexadecimal.
+fn md5_hex(text: &str) -> String {
     Md5::digest(text.as_bytes()).iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The fields of an `Authorization` or `WWW-Authenticate` header, without the scheme: `name=value`, values quoted
-/// or not, parted by commas outside of quotes.
-fn fields(header: &str) -> Option<Vec<(&str, &str)>> {
+/// Parses the parameters of an `Authorization` or `WWW-Authenticate` header of the Digest scheme: comma-separated
+/// `name=value` pairs with quoted or unquoted values. Returns `None` for other schemes and for malformed headers.
+fn parse_parameters(header: &str) -> Option<Vec<(&str, &str)>> {
     let (scheme, mut rest) = header.trim().split_once(' ')?;
     if !scheme.eq_ignore_ascii_case("digest") {
         return None;
     }
-    let mut fields = Vec::new();
+    let mut parameters = Vec::new();
     while !rest.trim().is_empty() {
         let (name, after) = rest.split_once('=')?;
         let after = after.trim_start();
@@ -31,22 +32,23 @@
             Some(quoted) => quoted.split_once('"')?,
             None => after.split_at(after.find(',').unwrap_or(after.len())),
         };
-        fields.push((name.trim(), value.trim()));
+        parameters.push((name.trim(), value.trim()));
         rest = next.trim_start().strip_prefix(',').unwrap_or("");
     }
-    Some(fields)
+    Some(parameters)
 }
 
 impl Users {
-    /// What a 401 asks for.
+    /// Returns the value of `WWW-Authenticate` for a 401 response.
     pub fn challenge(&self, nonce: &str) -> String {
         format!("Digest realm=\"{}\", nonce=\"{nonce}\", algorithm=MD5, qop=\"auth\"", self.realm)
     }
 
-    /// Does this header answer the challenge, for this request?
+    /// Returns whether an `Authorization` header is a valid response to the challenge with this nonce, for a request
+    /// with this method.
     pub fn admits(&self, header: &str, nonce: &str, method: &Method) -> bool {
-        let Some(fields) = fields(header) else { return false };
-        let get = |name: &str| fields.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|&(_, v)| v);
+        let Some(parameters) = parse_parameters(header) else { return false };
+        let get = |name: &str| parameters.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|&(_, v)| v);
         let (Some(user), Some(uri), Some(response)) = (get("username"), get("uri"), get("response")) else {
             return false;
         };
@@ -54,15 +56,16 @@
             return false;
         }
         let Some((_, password)) = self.users.iter().find(|(name, _)| name == user) else { return false };
-        let cnonce = get("qop").map(|qop| (qop, get("nc").unwrap_or(""), get("cnonce").unwrap_or("")));
-        let expected = answer(&self.realm, user, password, nonce, method, uri, cnonce);
-        // Every byte is compared, whichever differs first.
+        let qop = get("qop").map(|qop| (qop, get("nc").unwrap_or(""), get("cnonce").unwrap_or("")));
+        let expected = answer(&self.realm, user, password, nonce, method, uri, qop);
+        // Constant-time comparison: all bytes are compared, regardless of the first difference.
         expected.len() == response.len()
-            && expected.bytes().zip(response.bytes()).fold(0, |differs, (a, b)| differs | (a ^ b)) == 0
+            && expected.bytes().zip(response.bytes()).fold(0, |difference, (a, b)| difference | (a ^ b)) == 0
     }
 }
 
-/// The `response` that a client sends; `more` holds qop, nc and cnonce where the client uses them.
+/// Computes the `response` parameter of a client's `Authorization` header (RFC 2617, 3.2.2.1). `qop` holds the values of
+/// qop, nc and cnonce if the client sends them.
 pub fn answer(
     realm: &str,
     user: &str,
@@ -70,12 +73,12 @@
     nonce: &str,
     method: &Method,
     uri: &str,
-    more: Option<(&str, &str, &str)>,
+    qop: Option<(&str, &str, &str)>,
 ) -> String {
-    let who = hash(&format!("{user}:{realm}:{password}"));
-    let what = hash(&format!("{}:{uri}", <&str>::from(method)));
-    match more {
-        Some((qop, nc, cnonce)) => hash(&format!("{who}:{nonce}:{nc}:{cnonce}:{qop}:{what}")),
-        None => hash(&format!("{who}:{nonce}:{what}")),
+    let ha1 = md5_hex(&format!("{user}:{realm}:{password}"));
+    let ha2 = md5_hex(&format!("{}:{uri}", <&str>::from(method)));
+    match qop {
+        Some((qop, nc, cnonce)) => md5_hex(&format!("{ha1}:{nonce}:{nc}:{cnonce}:{qop}:{ha2}")),
+        None => md5_hex(&format!("{ha1}:{nonce}:{ha2}")),
     }
 }
--- a/crates/rtsp/src/lib.rs
+++ b/crates/rtsp/src/lib.rs
@@ -1,6 +1,7 @@
-//! RTSP 1.0 (RFC 2326) with RTP interleaved on the same connection (10.12), as far as a session front
-//! needs it: one codec for both sides, the viewer's side as a state machine, load in `text/parameters`,
-//! and RTP kept continuous across a change of rendition. Nothing here does I/O or reads a clock.
+//! The subset of RTSP 1.0 (RFC 2326) that a session front needs, with RTP and RTCP interleaved on the RTSP connection
+//! (section 10.12): a codec, a server state machine towards the viewer, a client state machine towards the media node,
+//! load reports in `text/parameters`, and rewriting that keeps RTP continuous across a change of rendition. Nothing in
+//! this crate performs I/O or reads a clock.
 
 pub mod client;
 pub mod codec;
@@ -14,5 +15,7 @@
 
 pub use codec::{Codec, Fault, Limits, Packet};
 
+/// An RTSP request with its body.
 pub type Request = rtsp_types::Request<Vec<u8>>;
+/// An RTSP response with its body.
 pub type Response = rtsp_types::Response<Vec<u8>>;
--- a/crates/rtsp/src/load.rs
+++ b/crates/rtsp/src/load.rs
@@ -1,26 +1,27 @@
-//! How a node tells its load: as `text/parameters` in the answer to GET_PARAMETER (RFC 2326, 10.8), and in the
-//! header `X-Load` of any other answer, which peers that don't know it pass over (RFC 2326, 1.5).
+//! The load report of a media node. It is sent as `text/parameters` in the response to GET_PARAMETER (RFC 2326, 10.8)
+//! and in the `X-Load` header of any other response; peers that don't know the header ignore it (RFC 2326, 1.5).
 
 use rtsp_types::HeaderName;
 
-/// What a node tells of itself, each a part of what it can give.
+/// The load of a media node. Each value is a fraction of the respective capacity and may exceed 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// What is asked of its link over what it gives.
+    /// Demand on the node's link, divided by the link's capacity.
     pub link: Option<f64>,
-    /// The same of its rack's uplink.
+    /// Demand on the uplink of the node's rack, divided by the uplink's capacity.
     pub uplink: Option<f64>,
-    /// Streams that it runs or sets up.
+    /// Streams that the node plays or sets up, divided by the number of streams that it can serve.
     pub streams: Option<f64>,
 }
 
+/// Returns the name of the header that carries a load report.
 pub fn header() -> HeaderName {
     HeaderName::from_static_str("X-Load").expect("a well-formed name")
 }
 
 impl Load {
-    /// Reads `name: value` pairs parted by line ends or commas. What is not known, or not a figure of zero or
-    /// more, is passed over: a node that tells more than we ask for is no fault.
+    /// Parses `name: value` or `name=value` pairs separated by line ends or commas. Unknown names and values that are not
+    /// finite numbers of at least 0 are ignored, as a node may report more than is used here.
     pub fn read(text: &str) -> Load {
         let mut load = Load::default();
         for pair in text.split(['\n', ',']) {
@@ -38,18 +39,21 @@
         load
     }
 
-    fn told(&self) -> impl Iterator<Item = (&'static str, f64)> {
+    fn reported_values(&self) -> impl Iterator<Item = (&'static str, f64)> {
         let pairs = [("link", self.link), ("uplink", self.uplink), ("streams", self.streams)];
         pairs.into_iter().filter_map(|(name, value)| Some((name, value?)))
     }
 
-    /// As a `text/parameters` body.
+    /// Returns the report as a `text/parameters` body.
     pub fn body(&self) -> String {
-        self.told().map(|(name, value)| format!("{name}: {value:.4}\r\n")).collect()
+        self.reported_values().map(|(name, value)| format!("{name}: {value:.4}\r\n")).collect()
     }
 
-    /// As the value of `X-Load`.
+    /// Returns the report as the value of `X-Load`.
     pub fn line(&self) -> String {
-        self.told().map(|(name, value)| format!("{name}={value:.4}")).collect::<Vec<_>>().join(", ")
+        self.reported_values()
+            .map(|(name, value)| format!("{name}={value:.4}"))
+            .collect::<Vec<_>>()
+            .join(", ")
     }
 }
--- a/crates/rtsp/src/messages.rs
+++ b/crates/rtsp/src/messages.rs
@@ -1,4 +1,4 @@
-//! Building and reading the few messages that both sides need.
+//! Helpers that build and read the RTSP messages and headers used on both sides of the director.
 
 use rtsp_types::headers::{self, HeaderName};
 use rtsp_types::{Method, StatusCode, Url, Version};
@@ -6,6 +6,7 @@
 use crate::load::{self, Load};
 use crate::{Request, Response};
 
+/// Builds a request without a body.
 pub fn request(method: Method, url: &Url, cseq: u32) -> Request {
     rtsp_types::Request::builder(method, Version::V1_0)
         .request_uri(url.clone())
@@ -13,7 +14,7 @@
         .build(Vec::new())
 }
 
-/// An answer; RTSP 1.0 wants the request's CSeq in it (RFC 2326, 12.17).
+/// Builds a response without a body. RTSP 1.0 requires the CSeq of the request in it (RFC 2326, 12.17).
 pub fn response(status: StatusCode, cseq: Option<&str>) -> Response {
     let builder = rtsp_types::Response::builder(Version::V1_0, status);
     match cseq {
@@ -22,50 +23,52 @@
     }
 }
 
-pub fn cseq(headers: &Request) -> Option<String> {
-    headers.header(&headers::CSEQ).map(|value| value.as_str().trim().to_string())
+/// Returns the CSeq of a request.
+pub fn cseq(request: &Request) -> Option<String> {
+    request.header(&headers::CSEQ).map(|value| value.as_str().trim().to_string())
 }
 
+/// Returns the value of a response header without surrounding white space.
 pub fn header<'a>(response: &'a Response, name: &HeaderName) -> Option<&'a str> {
     response.header(name).map(|value| value.as_str().trim())
 }
 
-/// The session id of a `Session` header, without its timeout.
+/// Returns the session identifier in the value of a `Session` header, without its parameters such as `timeout`.
 pub fn session_id(value: &str) -> &str {
     value.split(';').next().unwrap_or_default().trim()
 }
 
-/// The load that an answer tells, by its body or its header.
+/// Returns the load that a response reports, in the `X-Load` header or in a `text/parameters` body.
 pub fn load_of(response: &Response) -> Option<Load> {
     if let Some(line) = header(response, &load::header()) {
         return Some(Load::read(line));
     }
-    let told = header(response, &headers::CONTENT_TYPE)?.eq_ignore_ascii_case("text/parameters");
-    told.then(|| Load::read(&String::from_utf8_lossy(response.body())))
+    let has_parameters = header(response, &headers::CONTENT_TYPE)?.eq_ignore_ascii_case("text/parameters");
+    has_parameters.then(|| Load::read(&String::from_utf8_lossy(response.body())))
 }
 
-/// `Retry-After` in whole seconds, never sooner than told.
+/// Sets `Retry-After` to the delay rounded up to whole seconds, at least 1.
 pub fn retry_after(response: &mut Response, seconds: f64) {
     response.insert_header(headers::RETRY_AFTER, format!("{:.0}", seconds.ceil().max(1.0)));
 }
 
-/// The header of 3GPP TS 26.234's stream switch, sent with PLAY.
+/// Returns the name of the header that requests a stream switch (3GPP TS 26.234), sent with PLAY.
 pub fn switch_stream() -> HeaderName {
     HeaderName::from_static_str("Switch-Stream").expect("a well-formed name")
 }
 
-/// The value of `Switch-Stream` for a change from one rendition to another.
+/// Returns the value of `Switch-Stream` for a change from one rendition to another.
 pub fn switch_value(old: &Url, new: &Url) -> String {
     format!("old=\"{old}\";new=\"{new}\"")
 }
 
-/// The new rendition named by a `Switch-Stream` value.
+/// Returns the URL of the new rendition in a `Switch-Stream` value.
 pub fn switched_to(value: &str) -> Option<Url> {
     let new = value.split(';').find_map(|part| part.trim().strip_prefix("new="))?;
     Url::parse(new.trim().trim_matches('"')).ok()
 }
 
-/// The pair of interleaved channels that a transport line asks for or grants.
+/// The pair of interleaved channels that a `Transport` header requests or assigns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Channels {
     pub rtp: u8,
@@ -73,31 +76,34 @@
 }
 
 impl Channels {
+    /// Returns whether the two pairs have a channel in common.
     pub fn overlaps(&self, other: &Channels) -> bool {
         [self.rtp, self.rtcp].iter().any(|c| [other.rtp, other.rtcp].contains(c))
     }
 
+    /// Returns the value of a `Transport` header with these channels and, if given, the SSRC of the stream.
     pub fn granted(self, ssrc: Option<u32>) -> String {
         let ssrc = ssrc.map(|ssrc| format!(";ssrc={ssrc:08X}")).unwrap_or_default();
         format!("RTP/AVP/TCP;unicast;interleaved={}-{}{ssrc}", self.rtp, self.rtcp)
     }
 }
 
-/// The first alternative of a `Transport` header that is RTP over this connection (RFC 2326, 12.39: in order of
-/// preference), with the channels it asks for; those of `left_out` where it names none.
-pub fn interleaved(transport: &str, left_out: Channels) -> Option<Channels> {
-    transport.split(',').find_map(|one| {
-        let mut parts = one.split(';').map(str::trim);
-        let spec = parts.next()?;
+/// Returns the channels of the first transport in a `Transport` header that is unicast RTP interleaved on the RTSP
+/// connection. The header lists transports in order of preference (RFC 2326, 12.39). `default` is used where the
+/// transport names no channels.
+pub fn interleaved(transport: &str, default: Channels) -> Option<Channels> {
+    transport.split(',').find_map(|alternative| {
+        let mut parameters = alternative.split(';').map(str::trim);
+        let spec = parameters.next()?;
         if !spec.eq_ignore_ascii_case("RTP/AVP/TCP") && !spec.eq_ignore_ascii_case("RTP/AVP/TCP/unicast") {
             return None;
         }
-        let mut channels = left_out;
-        for part in parts {
-            if part.eq_ignore_ascii_case("multicast") {
+        let mut channels = default;
+        for parameter in parameters {
+            if parameter.eq_ignore_ascii_case("multicast") {
                 return None;
             }
-            if let Some(range) = part.strip_prefix("interleaved=") {
+            if let Some(range) = parameter.strip_prefix("interleaved=") {
                 let (rtp, rtcp) = range.split_once('-').unwrap_or((range, ""));
                 channels.rtp = rtp.parse().ok()?;
                 channels.rtcp =
--- a/crates/rtsp/src/presentation.rs
+++ b/crates/rtsp/src/presentation.rs
@@ -1,30 +1,33 @@
-//! What a URL asks for, and the SDP that DESCRIBE answers (RFC 2326, C.1).
+//! Presentation URLs, `RTP-Info` headers and the SDP description returned by DESCRIBE (RFC 2326, C.1).
 
 use rtsp_types::Url;
 
-/// The control name of a track, as `track1`; tracks are counted from 0 in the code.
-fn control(track: u8) -> String {
+/// Returns the control name of a track. Track numbers start at 0 in the code and at 1 in URLs: track 0 is `track1`.
+fn control_name(track: u8) -> String {
     format!("track{}", track + 1)
 }
 
-/// What a viewer's URL asks for: `rtsp://host/TITLE[/trackN][?group=NAME&top=RUNG&...]`.
+/// A parsed viewer URL: `rtsp://host/TITLE[/trackN][?group=NAME&top=RUNG&...]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Asked {
     pub title: String,
-    /// The presentation's URL without its query, and the query as it came.
+    /// The presentation's URL without track and query.
     pub base: String,
+    /// The query as received.
     pub query: String,
-    /// None for the whole presentation.
+    /// The track, counted from 0, or `None` for the whole presentation.
     pub track: Option<u8>,
+    /// Name of the service group.
     pub group: Option<String>,
     /// Highest rung that the viewer can use, counted from 0.
     pub top: Option<u8>,
-    /// What else the query holds, passed on to the node as it came.
+    /// All other elements of the query, forwarded to the node unchanged.
     pub rest: String,
 }
 
 impl Asked {
-    /// Reads a URL; none where its path names no title. A `top` that is no number is passed on, not used.
+    /// Parses a URL. Returns `None` if its path is not a title with an optional track. An element `top` that is not a
+    /// number is forwarded to the node and otherwise ignored.
     pub fn read(url: &Url) -> Option<Asked> {
         let mut parts = url.path().split('/').filter(|part| !part.is_empty());
         let title = parts.next()?.to_string();
@@ -36,41 +39,41 @@
         let port = url.port().map(|port| format!(":{port}")).unwrap_or_default();
         let base = format!("rtsp://{}{port}/{title}", url.host_str().unwrap_or_default());
         let query = url.query().unwrap_or_default().to_string();
-        let mut asked = Asked { title, base, query, track, group: None, top: None, rest: String::new() };
+        let mut parsed = Asked { title, base, query, track, group: None, top: None, rest: String::new() };
         for pair in url.query().unwrap_or_default().split('&').filter(|pair| !pair.is_empty()) {
             let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
             match (name, value.parse::<u8>()) {
-                ("group", _) => asked.group = Some(value.to_string()),
-                ("top", Ok(top)) => asked.top = Some(top),
+                ("group", _) => parsed.group = Some(value.to_string()),
+                ("top", Ok(top)) => parsed.top = Some(top),
                 _ => {
-                    let join = if asked.rest.is_empty() { "" } else { "&" };
-                    asked.rest += join;
-                    asked.rest += pair;
+                    let separator = if parsed.rest.is_empty() { "" } else { "&" };
+                    parsed.rest += separator;
+                    parsed.rest += pair;
                 }
             }
         }
-        Some(asked)
+        Some(parsed)
     }
 
-    /// The value of an element of the query.
+    /// Returns the value of an element of the query, as received.
     pub fn element(&self, name: &str) -> Option<&str> {
         self.query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
     }
 
-    /// The URL by which the viewer knows a track.
+    /// Returns the URL of a track as the viewer addresses it.
     pub fn track_url(&self, track: u8) -> String {
         let query = if self.query.is_empty() { String::new() } else { format!("?{}", self.query) };
-        format!("{}/{}{query}", self.base, control(track))
+        format!("{}/{}{query}", self.base, control_name(track))
     }
 
-    /// The rendition of this title at a node: `rtsp://node/TITLE/rN[?rest]`.
+    /// Returns the URL of a rendition of this title at a node: `rtsp://node/TITLE/rN[?...]`.
     pub fn rendition(&self, node: std::net::SocketAddr, rung: u8) -> Option<Url> {
         let query = if self.rest.is_empty() { String::new() } else { format!("?{}", self.rest) };
         Url::parse(&format!("rtsp://{node}/{}/r{rung}{query}", self.title)).ok()
     }
 }
 
-/// Where a track's stream begins, as `RTP-Info` tells it (RFC 2326, 12.33).
+/// The start of a track's stream as given by an entry of `RTP-Info` (RFC 2326, 12.33).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Begins {
     pub track: u8,
@@ -78,13 +81,14 @@
     pub rtptime: Option<u32>,
 }
 
-/// Reads a node's `RTP-Info`; entries that name no track of ours are passed over.
+/// Parses the `RTP-Info` header of a node. Entries whose URL does not name a track are ignored.
 pub fn rtp_info(value: &str) -> Vec<Begins> {
     let entry = |text: &str| {
-        let part = |name: &str| text.split(';').find_map(|p| p.trim().strip_prefix(name)?.strip_prefix('='));
-        let path = part("url")?.split('?').next()?;
+        let parameter =
+            |name: &str| text.split(';').find_map(|p| p.trim().strip_prefix(name)?.strip_prefix('='));
+        let path = parameter("url")?.split('?').next()?;
         let track = path.rsplit('/').next()?.strip_prefix("track")?.parse::<u8>().ok()?.checked_sub(1)?;
-        let (seq, rtptime) = (part("seq"), part("rtptime"));
+        let (seq, rtptime) = (parameter("seq"), parameter("rtptime"));
         Some(Begins {
             track,
             seq: seq.and_then(|n| n.parse().ok()),
@@ -94,23 +98,23 @@
     value.split(',').filter_map(entry).collect()
 }
 
-/// Writes `RTP-Info` with the URLs by which the reader knows the tracks.
-pub fn write_rtp_info(begins: impl Iterator<Item = Begins>, url: impl Fn(u8) -> String) -> String {
-    let entry = |b: Begins| {
-        let seq = b.seq.map(|n| format!(";seq={n}")).unwrap_or_default();
-        let rtptime = b.rtptime.map(|n| format!(";rtptime={n}")).unwrap_or_default();
-        format!("url={}{seq}{rtptime}", url(b.track))
+/// Formats an `RTP-Info` header. `url` returns the URL of a track as the receiver addresses it.
+pub fn write_rtp_info(starts: impl Iterator<Item = Begins>, url: impl Fn(u8) -> String) -> String {
+    let entry = |start: Begins| {
+        let seq = start.seq.map(|n| format!(";seq={n}")).unwrap_or_default();
+        let rtptime = start.rtptime.map(|n| format!(";rtptime={n}")).unwrap_or_default();
+        format!("url={}{seq}{rtptime}", url(start.track))
     };
-    begins.map(entry).collect::<Vec<_>>().join(",")
+    starts.map(entry).collect::<Vec<_>>().join(",")
 }
 
-/// The rung of a rendition's URL, as [`Asked::rendition`] writes it.
+/// Returns the rung in a rendition's URL as formatted by [`Asked::rendition`].
 pub fn rung_of(url: &Url) -> Option<u8> {
     url.path().rsplit('/').find_map(|part| part.strip_prefix('r')?.parse().ok())
 }
 
-/// Describes a presentation: video, and audio where it has a second track. The query goes along in each control URL, so
-/// that a player that follows them asks for the same as it was described.
+/// Returns the SDP description of a presentation: video and, if there is a second clock rate, audio. Each control URL
+/// carries the query, so that a player's SETUP requests have the same query as its DESCRIBE request.
 pub fn describe(title: &str, query: &str, clock_rates: impl Iterator<Item = u32>) -> Vec<u8> {
     let query = if query.is_empty() { String::new() } else { format!("?{query}") };
     let attribute =
@@ -143,7 +147,7 @@
         medias: (0u8..)
             .zip(clock_rates)
             .map(|(track, rate)| {
-                let (media, payload, coding) = match track {
+                let (media, payload, encoding) = match track {
                     0 => ("video", 96, format!("MP2T/{rate}")),
                     _ => ("audio", 97, format!("L16/{rate}/1")),
                 };
@@ -158,14 +162,14 @@
                     bandwidths: Vec::new(),
                     key: None,
                     attributes: vec![
-                        attribute("rtpmap", format!("{payload} {coding}")),
-                        attribute("control", format!("{}{query}", control(track))),
+                        attribute("rtpmap", format!("{payload} {encoding}")),
+                        attribute("control", format!("{}{query}", control_name(track))),
                     ],
                 }
             })
             .collect(),
     };
     let mut text = Vec::new();
-    session.write(&mut text).expect("a vector takes all that is written");
+    session.write(&mut text).expect("writing to a vector can't fail");
     text
 }
--- a/crates/rtsp/src/rewrite.rs
+++ b/crates/rtsp/src/rewrite.rs
@@ -1,16 +1,16 @@
-//! RTP towards the viewer stays one stream whatever the node sends: one SSRC, sequence numbers without a jump,
-//! timestamps that go on with the time that passed (RFC 3550, 5.1). A change of rendition, or of node, may bring
-//! another SSRC, another start of the sequence and another timestamp offset.
+//! Rewrites RTP so that the viewer receives one continuous stream: one SSRC, consecutive sequence numbers, and timestamps
+//! that advance with the elapsed time (RFC 3550, 5.1). A change of rendition or node may bring another SSRC, another
+//! initial sequence number and another timestamp offset.
 //!
-//! The same look at each header tells how much of what the node sent arrived: see [`Meter`].
+//! [`Meter`] derives from the same headers how much of the node's stream arrived.
 
 use crate::rtcp::{self, Sent};
 
-/// The fixed part of an RTP header.
+/// Length of the fixed RTP header, in bytes.
 pub const RTP_HEADER: usize = 12;
 
-/// Reads version, sequence number, timestamp and SSRC; none where this is no RTP packet.
-fn header(packet: &[u8]) -> Option<(u16, u32, u32)> {
+/// Returns sequence number, timestamp and SSRC of an RTP packet, or `None` if it is not RTP version 2.
+fn parse_header(packet: &[u8]) -> Option<(u16, u32, u32)> {
     if packet.len() < RTP_HEADER || packet[0] >> 6 != 2 {
         return None;
     }
@@ -18,163 +18,208 @@
     Some((u16::from_be_bytes([packet[2], packet[3]]), word(4), word(8)))
 }
 
+/// Rewrites the RTP and RTCP of one track.
 #[derive(Debug)]
 pub struct Rewriter {
+    /// SSRC of the stream to the viewer.
     ssrc: u32,
+    /// RTP ticks per second.
     clock_rate: u32,
-    /// The node's SSRC as last seen, and what is added to its sequence numbers and timestamps.
+    /// SSRC of the node's current stream.
     source: Option<u32>,
-    add_seq: u16,
-    add_ts: u32,
-    /// What the viewer last got, and when, in microseconds.
+    /// Offset added to the sequence numbers of the current source, modulo 2^16.
+    seq_offset: u16,
+    /// Offset added to the timestamps of the current source, modulo 2^32.
+    timestamp_offset: u32,
+    /// Highest sequence number sent to the viewer, with its timestamp and the time of sending in microseconds.
     last: Option<(u16, u32, u64)>,
-    /// Packets and payload bytes passed on; sender reports tell these, across all sources.
+    /// Packets forwarded from all sources, for sender reports.
     packets: u32,
+    /// Payload bytes forwarded from all sources, for sender reports.
     octets: u32,
 }
 
 impl Rewriter {
-    /// `ssrc` is what the viewer was told; `clock_rate` is in ticks a second.
+    /// Creates a rewriter. `ssrc` is the SSRC announced to the viewer; `clock_rate` is in ticks per second.
     pub fn new(ssrc: u32, clock_rate: u32) -> Rewriter {
-        Rewriter { ssrc, clock_rate, source: None, add_seq: 0, add_ts: 0, last: None, packets: 0, octets: 0 }
+        Rewriter {
+            ssrc,
+            clock_rate,
+            source: None,
+            seq_offset: 0,
+            timestamp_offset: 0,
+            last: None,
+            packets: 0,
+            octets: 0,
+        }
     }
 
+    /// Returns the SSRC of the stream to the viewer.
     pub fn ssrc(&self) -> u32 {
         self.ssrc
     }
 
-    /// What the viewer will see of a sequence number and a timestamp of the node's present stream.
-    pub fn seen(&self, seq: u16, ts: u32) -> (u16, u32) {
-        (seq.wrapping_add(self.add_seq), ts.wrapping_add(self.add_ts))
+    /// Maps a sequence number and a timestamp of the node's current stream to those of the viewer's stream.
+    pub fn seen(&self, seq: u16, timestamp: u32) -> (u16, u32) {
+        (seq.wrapping_add(self.seq_offset), timestamp.wrapping_add(self.timestamp_offset))
     }
 
-    /// Rewrites one RTP packet in place; false where it is none, and is not to be passed on.
+    /// Rewrites an RTP packet in place. Returns false if it is not RTP and must be dropped. `now_us` is the current time
+    /// in microseconds.
     pub fn rtp(&mut self, packet: &mut [u8], now_us: u64) -> bool {
-        let Some((seq, ts, source)) = header(packet) else { return false };
+        let Some((seq, timestamp, source)) = parse_header(packet) else { return false };
         if self.source != Some(source) {
-            if let Some((last_seq, last_ts, at)) = self.last {
-                let passed = u128::from(now_us.saturating_sub(at)) * u128::from(self.clock_rate) / 1_000_000;
-                self.add_seq = last_seq.wrapping_add(1).wrapping_sub(seq);
-                // A tick at least: two frames of different content never share a timestamp.
-                self.add_ts = last_ts.wrapping_add((passed as u32).max(1)).wrapping_sub(ts);
+            if let Some((last_seq, last_timestamp, last_us)) = self.last {
+                let elapsed_ticks =
+                    u128::from(now_us.saturating_sub(last_us)) * u128::from(self.clock_rate) / 1_000_000;
+                self.seq_offset = last_seq.wrapping_add(1).wrapping_sub(seq);
+                // At least one tick, as frames of different content must not share a timestamp.
+                self.timestamp_offset =
+                    last_timestamp.wrapping_add((elapsed_ticks as u32).max(1)).wrapping_sub(timestamp);
             }
             self.source = Some(source);
         }
-        let (seq, ts) = (seq.wrapping_add(self.add_seq), ts.wrapping_add(self.add_ts));
-        // What came late, by the order of the sequence, doesn't take the mark back.
-        let newer = self.last.is_none_or(|(last, ..)| seq.wrapping_sub(last) < 0x8000);
+        let (seq, timestamp) =
+            (seq.wrapping_add(self.seq_offset), timestamp.wrapping_add(self.timestamp_offset));
+        // A reordered packet does not lower the highest sequence number.
+        let newer = self.last.is_none_or(|(last_seq, ..)| seq.wrapping_sub(last_seq) < 0x8000);
         if newer {
-            self.last = Some((seq, ts, now_us));
+            self.last = Some((seq, timestamp, now_us));
         }
         self.packets = self.packets.wrapping_add(1);
         self.octets = self.octets.wrapping_add((packet.len() - RTP_HEADER) as u32);
         packet[2..4].copy_from_slice(&seq.to_be_bytes());
-        packet[4..8].copy_from_slice(&ts.to_be_bytes());
+        packet[4..8].copy_from_slice(&timestamp.to_be_bytes());
         packet[8..12].copy_from_slice(&self.ssrc.to_be_bytes());
         true
     }
 
-    /// Rewrites a compound RTCP packet of the playing source in place; false where it isn't to be passed on.
+    /// Rewrites a compound RTCP packet of the current source in place. Returns false if it must be dropped.
     pub fn rtcp(&self, packet: &mut [u8]) -> bool {
         let Some(source) = self.source else { return false };
-        let sent =
-            Sent { source, ssrc: self.ssrc, add_ts: self.add_ts, packets: self.packets, octets: self.octets };
-        rtcp::rewrite(packet, sent)
+        let mapping = Sent {
+            source,
+            ssrc: self.ssrc,
+            timestamp_offset: self.timestamp_offset,
+            packets: self.packets,
+            octets: self.octets,
+        };
+        rtcp::rewrite(packet, mapping)
     }
 }
 
-/// How much of what a node should have sent in a span arrived, from headers alone: packets got over those that
-/// the sequence numbers name (RFC 3550, A.3), times the media time that passed over the time that did. Unlike
-/// bytes against the rung's rate, it doesn't take a title that needs less than its rung for a shortage.
+/// Measures the fraction of a node's stream that arrives, from RTP headers alone: the ratio of received to expected
+/// packets by sequence number (RFC 3550, A.3), multiplied by the ratio of elapsed media time to elapsed time. Comparing
+/// the byte rate with the rung's rate instead would report a title that needs less than its rung as a shortage.
 #[derive(Debug)]
 pub struct Meter {
+    /// RTP ticks per second.
     clock_rate: u32,
+    /// SSRC of the current source.
     source: Option<u32>,
-    from_us: u64,
-    /// Highest sequence number and timestamp, and packets got and named since the span began.
-    seq: u16,
-    ts: u32,
-    got: u32,
-    named: u32,
-    ticks: u32,
-    /// Ticks from packet to packet, smoothed; 0 while not known.
-    step: u32,
+    /// Start of the measurement window, in microseconds.
+    window_start_us: u64,
+    /// Highest sequence number of the current source.
+    highest_seq: u16,
+    /// Highest timestamp of the current source.
+    highest_timestamp: u32,
+    /// Packets received in the window.
+    received: u32,
+    /// Packets expected in the window, by their sequence numbers.
+    expected: u32,
+    /// Media time that elapsed in the window, in RTP ticks.
+    media_ticks: u32,
+    /// Smoothed number of RTP ticks between packets, or 0 before the first measurement.
+    ticks_per_packet: u32,
 }
 
-/// A span that should have brought fewer packets tells nothing yet, and goes on.
-const FEWEST: u64 = 5;
-/// One in which nothing came while the pace isn't known ends after so long, in microseconds.
-const UNKNOWN: u64 = 2_000_000;
+/// Minimum number of packets due in a window; a window in which fewer were due is extended.
+const MIN_PACKETS_DUE: u64 = 5;
+/// Length in microseconds after which a window ends while the packet interval is unknown.
+const WINDOW_WITHOUT_INTERVAL_US: u64 = 2_000_000;
 
-/// One span as a [`Meter`] saw it.
+/// The result of one window of a [`Meter`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Flow {
-    /// Part of what was due that arrived, 0 to 1.
+    /// Fraction of the due media that arrived, from 0 to 1.
     pub share: f64,
+    /// Packets received.
     pub packets: u32,
 }
 
 impl Meter {
+    /// Creates a meter and starts a window. `clock_rate` is in ticks per second, `now_us` in microseconds.
     pub fn new(clock_rate: u32, now_us: u64) -> Meter {
         Meter {
             clock_rate,
             source: None,
-            from_us: now_us,
-            seq: 0,
-            ts: 0,
-            got: 0,
-            named: 0,
-            ticks: 0,
-            step: 0,
+            window_start_us: now_us,
+            highest_seq: 0,
+            highest_timestamp: 0,
+            received: 0,
+            expected: 0,
+            media_ticks: 0,
+            ticks_per_packet: 0,
         }
     }
 
+    /// Records a packet from the node. Packets that are not RTP are ignored.
     pub fn saw(&mut self, packet: &[u8]) {
-        let Some((seq, ts, source)) = header(packet) else { return };
-        self.got += 1;
+        let Some((seq, timestamp, source)) = parse_header(packet) else { return };
+        self.received += 1;
         if self.source != Some(source) {
-            (self.source, self.seq, self.ts) = (Some(source), seq, ts);
-            self.named += 1;
+            (self.source, self.highest_seq, self.highest_timestamp) = (Some(source), seq, timestamp);
+            self.expected += 1;
             return;
         }
-        let (ahead, ticks) = (seq.wrapping_sub(self.seq), ts.wrapping_sub(self.ts));
-        if ahead < 0x8000 {
-            self.named += u32::from(ahead);
-            self.seq = seq;
+        let (seq_advance, ticks) =
+            (seq.wrapping_sub(self.highest_seq), timestamp.wrapping_sub(self.highest_timestamp));
+        if seq_advance < 0x8000 {
+            self.expected += u32::from(seq_advance);
+            self.highest_seq = seq;
         }
         if ticks < 0x8000_0000 {
-            self.ticks = self.ticks.saturating_add(ticks);
-            self.ts = ts;
-            // Packets of one frame share a timestamp; numbers that are missing had their share of the ticks.
-            if ahead > 0 && ahead < 0x8000 {
-                let step = ticks / u32::from(ahead);
-                self.step = if self.step == 0 { step } else { self.step - self.step / 8 + step / 8 };
+            self.media_ticks = self.media_ticks.saturating_add(ticks);
+            self.highest_timestamp = timestamp;
+            // Packets of one frame share a timestamp. The ticks are divided among received and missing packets.
+            if seq_advance > 0 && seq_advance < 0x8000 {
+                let interval = ticks / u32::from(seq_advance);
+                self.ticks_per_packet = if self.ticks_per_packet == 0 {
+                    interval
+                } else {
+                    self.ticks_per_packet - self.ticks_per_packet / 8 + interval / 8
+                };
             }
         }
     }
 
-    /// Ends a span and begins the next; none while too little should have come to tell.
+    /// Ends the window and starts the next. Returns `None`, and extends the window, while too few packets were due for a
+    /// measurement.
     pub fn take(&mut self, now_us: u64) -> Option<Flow> {
-        let passed = now_us.saturating_sub(self.from_us);
-        let due = passed * u64::from(self.clock_rate) / 1_000_000;
-        let enough = match self.step {
-            0 => passed >= UNKNOWN,
-            step => due >= FEWEST * u64::from(step),
+        let elapsed_us = now_us.saturating_sub(self.window_start_us);
+        let due = elapsed_us * u64::from(self.clock_rate) / 1_000_000;
+        let sufficient = match self.ticks_per_packet {
+            0 => elapsed_us >= WINDOW_WITHOUT_INTERVAL_US,
+            ticks_per_packet => due >= MIN_PACKETS_DUE * u64::from(ticks_per_packet),
         };
-        if !enough {
+        if !sufficient {
             return None;
         }
-        let wanted = due as f64;
-        let arrived =
-            if self.named == 0 { 0.0 } else { f64::from(self.got.min(self.named)) / f64::from(self.named) };
-        // Packets come in steps: a tenth of the span is allowed to be still on the way.
-        let kept_up = if wanted <= 0.0 { 1.0 } else { (f64::from(self.ticks) / (0.9 * wanted)).min(1.0) };
-        let flow = Flow { share: arrived * kept_up, packets: self.got };
-        (self.from_us, self.got, self.named, self.ticks) = (now_us, 0, 0, 0);
+        let due_ticks = due as f64;
+        let received_fraction = if self.expected == 0 {
+            0.0
+        } else {
+            f64::from(self.received.min(self.expected)) / f64::from(self.expected)
+        };
+        // Packets arrive in bursts, so a tenth of the window's media may still be in transit.
+        let media_time_fraction =
+            if due_ticks <= 0.0 { 1.0 } else { (f64::from(self.media_ticks) / (0.9 * due_ticks)).min(1.0) };
+        let flow = Flow { share: received_fraction * media_time_fraction, packets: self.received };
+        (self.window_start_us, self.received, self.expected, self.media_ticks) = (now_us, 0, 0, 0);
         Some(flow)
     }
 
-    /// Begins a span anew, after a pause.
+    /// Discards the current window and starts a new one, after a pause.
     pub fn restart(&mut self, now_us: u64) {
         *self = Meter::new(self.clock_rate, now_us);
     }
--- a/crates/rtsp/src/rtcp.rs
+++ b/crates/rtsp/src/rtcp.rs
@@ -1,23 +1,24 @@
-//! RTCP inside the connection (RFC 3550, 6): viewers' receiver reports read, nodes' sender reports rewritten so that
-//! they fit the stream that the viewer sees, BYE seen and made.
+//! Interleaved RTCP (RFC 3550, section 6): reads receiver reports of viewers, rewrites sender reports of nodes to match
+//! the stream that the viewer receives, and detects and builds BYE packets.
 
 use bytes::BytesMut;
 use rtcp_types::{Bye, Compound, Packet, ReceiverReport, SenderReport};
 
+// RTCP packet types (RFC 3550, 12.1).
 const SENDER_REPORT: u8 = 200;
 const SOURCE_DESCRIPTION: u8 = 202;
 const BYE: u8 = 203;
 
-/// What a viewer reports of one source.
+/// A viewer's reception report on one source (RFC 3550, 6.4.1).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Heard {
-    /// Part of the packets since its last report that it missed, 0 to 1.
+    /// Fraction of packets lost since the viewer's previous report, from 0 to 1.
     pub lost: f64,
-    /// In RTP ticks.
+    /// Interarrival jitter in RTP ticks.
     pub jitter: u32,
 }
 
-/// The report on `ssrc` in a compound packet, if there is one. What can't be read tells nothing.
+/// Returns the reception report on `ssrc` in a compound packet, or `None` if it has none or can't be parsed.
 pub fn heard(packet: &[u8], ssrc: u32) -> Option<Heard> {
     let read = |block: rtcp_types::ReportBlock| {
         (block.ssrc() == ssrc).then(|| Heard {
@@ -32,13 +33,13 @@
     })
 }
 
-/// A source said that it is over.
+/// Returns whether a compound packet contains a BYE.
 pub fn says_bye(packet: &[u8]) -> bool {
     let Ok(compound) = Compound::parse(packet) else { return false };
     compound.filter_map(Result::ok).any(|packet| matches!(packet, Packet::Bye(_)))
 }
 
-/// BYE for one source.
+/// Builds a BYE of one source.
 pub fn bye(ssrc: u32) -> BytesMut {
     use rtcp_types::RtcpPacketWriterExt;
     let builder = Bye::builder().add_source(ssrc);
@@ -47,44 +48,47 @@
     BytesMut::from(&packet[..])
 }
 
-/// What a sender report is made to say.
+/// How the sender reports of a node are rewritten for the viewer's stream.
 #[derive(Clone, Copy, Debug)]
 pub struct Sent {
+    /// SSRC of the node's current stream.
     pub source: u32,
+    /// SSRC of the viewer's stream.
     pub ssrc: u32,
-    /// Added to RTP timestamps.
-    pub add_ts: u32,
-    /// Packets and payload bytes that the viewer was sent.
+    /// Offset added to RTP timestamps, modulo 2^32.
+    pub timestamp_offset: u32,
+    /// Packets sent to the viewer.
     pub packets: u32,
+    /// Payload bytes sent to the viewer.
     pub octets: u32,
 }
 
-/// Rewrites a compound packet of the playing source in place; false where it is of another source or can't be read,
-/// and is not to be passed on.
-pub fn rewrite(packet: &mut [u8], sent: Sent) -> bool {
+/// Rewrites a compound packet of the current source in place. Returns false if it is from another source or can't be
+/// parsed, and must be dropped.
+pub fn rewrite(packet: &mut [u8], mapping: Sent) -> bool {
     let mut at = 0;
-    let mut ours = false;
+    let mut from_source = false;
     let word = |p: &[u8], at: usize| u32::from_be_bytes([p[at], p[at + 1], p[at + 2], p[at + 3]]);
     while at + 8 <= packet.len() {
         if packet[at] >> 6 != 2 {
             return false;
         }
-        let kind = packet[at + 1];
+        let packet_type = packet[at + 1];
         let length = 4 + 4 * usize::from(u16::from_be_bytes([packet[at + 2], packet[at + 3]]));
         if at + length > packet.len() || length < 8 {
             return false;
         }
-        if word(packet, at + 4) == sent.source && matches!(kind, SENDER_REPORT..=BYE) {
-            ours |= kind != SOURCE_DESCRIPTION;
-            packet[at + 4..at + 8].copy_from_slice(&sent.ssrc.to_be_bytes());
-            if kind == SENDER_REPORT && length >= 28 {
-                let ts = word(packet, at + 16).wrapping_add(sent.add_ts);
-                packet[at + 16..at + 20].copy_from_slice(&ts.to_be_bytes());
-                packet[at + 20..at + 24].copy_from_slice(&sent.packets.to_be_bytes());
-                packet[at + 24..at + 28].copy_from_slice(&sent.octets.to_be_bytes());
+        if word(packet, at + 4) == mapping.source && matches!(packet_type, SENDER_REPORT..=BYE) {
+            from_source |= packet_type != SOURCE_DESCRIPTION;
+            packet[at + 4..at + 8].copy_from_slice(&mapping.ssrc.to_be_bytes());
+            if packet_type == SENDER_REPORT && length >= 28 {
+                let timestamp = word(packet, at + 16).wrapping_add(mapping.timestamp_offset);
+                packet[at + 16..at + 20].copy_from_slice(&timestamp.to_be_bytes());
+                packet[at + 20..at + 24].copy_from_slice(&mapping.packets.to_be_bytes());
+                packet[at + 24..at + 28].copy_from_slice(&mapping.octets.to_be_bytes());
             }
         }
         at += length;
     }
-    ours && at == packet.len()
+    from_source && at == packet.len()
 }
--- a/crates/rtsp/src/server.rs
+++ b/crates/rtsp/src/server.rs
@@ -1,6 +1,6 @@
-//! The viewer's side of one connection as a state machine (RFC 2326, A.2), without I/O: a request in, a [`Step`]
-//! out. Requests are answered in the order in which they came (RFC 2326, 9.1), so the shell hands in the next one
-//! only when the last has its answer. What each method comes to in each state is the table in [`allowed`].
+//! The RTSP server state machine (RFC 2326, A.2) of one viewer connection, without I/O: it takes a request and returns a
+//! [`Step`]. Requests are answered in the order in which they arrived (RFC 2326, 9.1), so the caller passes the next
+//! request only after the previous one was answered. [`allowed`] lists the methods that are valid in each state.
 
 use std::sync::Arc;
 
@@ -12,24 +12,24 @@
 use crate::presentation::{self, Asked};
 use crate::{Request, Response};
 
-/// What the shell is to do about a request.
+/// The action that the caller performs for a request.
 #[derive(Debug)]
 pub enum Step {
-    /// Write this answer.
+    /// Send this response.
     Reply(Response),
-    /// Ask for a session; the answer comes later by [`Server::granted`] or [`Server::turned_away`].
+    /// Request a session, then call [`Server::granted`] or [`Server::turned_away`].
     Ask(Asked),
-    /// Set up a further track of the session where it is; the answer comes by [`Server::track_granted`] or
-    /// [`Server::failed`].
+    /// Set up another track of the session at its node, then call [`Server::track_granted`] or [`Server::failed`].
     Track { track: u8 },
-    /// Let the node play; the answer comes by [`Server::plays`] or [`Server::failed`].
+    /// Send PLAY to the node, then call [`Server::plays`] or [`Server::failed`].
     Play { range: Option<String> },
-    /// Let the node pause; the answer comes by [`Server::paused`] or [`Server::failed`].
+    /// Send PAUSE to the node, then call [`Server::paused`] or [`Server::failed`].
     Pause,
-    /// The session ends; write this answer.
+    /// End the session and send this response.
     Leave(Response),
 }
 
+/// State of the viewer's session (RFC 2326, A.2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     Init,
@@ -37,17 +37,18 @@
     Playing,
 }
 
+/// Value of the `Public` and `Allow` headers: the supported methods.
 pub const PUBLIC: &str = "OPTIONS, DESCRIBE, SETUP, PLAY, PAUSE, TEARDOWN, GET_PARAMETER, SET_PARAMETER";
 
-/// Whether a method is taken in a state, or the status that it is refused with.
+/// Checks whether a method is valid in a state. Returns the status of the error response if it is not.
 ///
 /// | method | Init | Ready | Playing |
 /// | --- | --- | --- | --- |
-/// | OPTIONS, DESCRIBE, GET_PARAMETER, SET_PARAMETER | taken | taken | taken |
-/// | SETUP | taken | a further track | 455 |
-/// | PLAY | 455 | taken | taken |
-/// | PAUSE | 455 | taken | taken |
-/// | TEARDOWN | 454 | taken | taken |
+/// | OPTIONS, DESCRIBE, GET_PARAMETER, SET_PARAMETER | valid | valid | valid |
+/// | SETUP | valid | another track | 455 |
+/// | PLAY | 455 | valid | valid |
+/// | PAUSE | 455 | valid | valid |
+/// | TEARDOWN | 454 | valid | valid |
 /// | ANNOUNCE, RECORD, REDIRECT | 405 | 405 | 405 |
 /// | any other | 501 | 501 | 501 |
 pub fn allowed(method: &Method, state: State) -> Result<(), StatusCode> {
@@ -65,30 +66,33 @@
     }
 }
 
-/// One viewer's connection, with at most one session.
+/// One viewer connection with at most one session.
 pub struct Server {
     state: State,
-    /// The CSeq that waits for its answer.
+    /// CSeq of the request that awaits its response.
     cseq: Option<String>,
-    /// The track whose SETUP waits, and its channels.
-    asked: (u8, Channels),
-    /// Tracks that are set up.
+    /// Track and channels of the last SETUP.
+    pending_setup: (u8, Channels),
+    /// Tracks that were set up, with their interleaved channels.
     tracks: Vec<(u8, Channels)>,
+    /// Session identifier sent to the viewer.
     session: Option<String>,
-    /// Seconds that a session lasts without a word from the viewer.
+    /// Session timeout in seconds, without requests or RTCP from the viewer.
     timeout: u32,
-    /// RTP ticks a second of each track.
+    /// RTP clock rate of each track, in ticks per second.
     clock_rates: Vec<u32>,
-    /// Who may come in, and the nonce of this connection.
+    /// Users that may connect, with the nonce of this connection. `None` disables authentication.
     users: Option<(Arc<Users>, String)>,
 }
 
 impl Server {
+    /// Creates the state of a new connection. `timeout` is the session timeout in seconds; `clock_rates` holds the RTP
+    /// clock rate of each track, in ticks per second.
     pub fn new(timeout: u32, clock_rates: &[u32]) -> Server {
         Server {
             state: State::Init,
             cseq: None,
-            asked: (0, Channels { rtp: 0, rtcp: 1 }),
+            pending_setup: (0, Channels { rtp: 0, rtcp: 1 }),
             tracks: Vec::new(),
             session: None,
             timeout,
@@ -97,7 +101,7 @@
         }
     }
 
-    /// Lets in only these users, who answer a challenge with this nonce.
+    /// Enables Digest authentication with these users and the nonce of this connection.
     pub fn guarded(mut self, users: Arc<Users>, nonce: String) -> Server {
         self.users = Some((users, nonce));
         self
@@ -107,17 +111,17 @@
         self.state
     }
 
-    /// A request waits for its answer; the next must not be handed in before.
+    /// Returns whether a request awaits its response. Until then, no other request may be passed in.
     pub fn waits(&self) -> bool {
         self.cseq.is_some()
     }
 
-    /// The viewer's channels of a track that is set up.
+    /// Returns the viewer's channels of a track that was set up.
     pub fn channels(&self, track: u8) -> Option<Channels> {
         self.tracks.iter().find(|(t, _)| *t == track).map(|&(_, channels)| channels)
     }
 
-    /// The track whose RTCP comes on this channel.
+    /// Returns the track whose RTCP is received on this channel.
     pub fn track_of_rtcp(&self, channel: u8) -> Option<u8> {
         self.tracks.iter().find(|(_, channels)| channels.rtcp == channel).map(|&(track, _)| track)
     }
@@ -135,16 +139,17 @@
         response
     }
 
-    /// Takes the next request; `titles` tells how many tracks a title has, if there is one of that name.
+    /// Handles the next request. `titles` returns the number of tracks of a title, or `None` for an unknown title.
     pub fn request(&mut self, request: &Request, titles: impl Fn(&str) -> Option<u8>) -> Step {
         let cseq = messages::cseq(request);
-        let refuse = |status| Step::Reply(self.reply(status, cseq.as_deref()));
+        let respond = |status| Step::Reply(self.reply(status, cseq.as_deref()));
         if cseq.is_none() {
-            return refuse(StatusCode::BadRequest);
+            return respond(StatusCode::BadRequest);
         }
-        if let Some(wanted) = request.header(&headers::REQUIRE).or(request.header(&headers::PROXY_REQUIRE)) {
+        if let Some(required) = request.header(&headers::REQUIRE).or(request.header(&headers::PROXY_REQUIRE))
+        {
             let mut reply = self.reply(StatusCode::OptionNotSupported, cseq.as_deref());
-            reply.insert_header(headers::UNSUPPORTED, wanted.as_str());
+            reply.insert_header(headers::UNSUPPORTED, required.as_str());
             return Step::Reply(reply);
         }
         if let Some((users, nonce)) = &self.users
@@ -159,38 +164,38 @@
         }
         let session = request.header(&headers::SESSION).map(|s| messages::session_id(s.as_str()));
         if session.is_some() && session != self.session.as_deref() {
-            return refuse(StatusCode::SessionNotFound);
+            return respond(StatusCode::SessionNotFound);
         }
         if let Err(status) = allowed(request.method(), self.state) {
-            return refuse(status);
+            return respond(status);
         }
-        // What concerns a session must name it (RFC 2326, 12.37).
-        let named = session.is_some();
+        // Requests within a session must carry its identifier (RFC 2326, 12.37).
+        let names_session = session.is_some();
         match request.method() {
             Method::Options => {
                 let mut reply = self.reply(StatusCode::Ok, cseq.as_deref());
                 reply.insert_header(headers::PUBLIC, PUBLIC);
                 Step::Reply(reply)
             }
-            // Without parameters they test that the session lives (RFC 2326, 10.8); there are none to get or set.
+            // Without parameters these test whether the session is alive (RFC 2326, 10.8). No parameters are supported.
             Method::GetParameter | Method::SetParameter if request.body().is_empty() => {
-                refuse(StatusCode::Ok)
+                respond(StatusCode::Ok)
             }
-            Method::GetParameter | Method::SetParameter => refuse(StatusCode::ParameterNotUnderstood),
+            Method::GetParameter | Method::SetParameter => respond(StatusCode::ParameterNotUnderstood),
             Method::Describe => self.describe(request, cseq, titles),
-            Method::Setup => self.setup(request, cseq, named, titles),
-            _ if !named => refuse(StatusCode::SessionNotFound),
+            Method::Setup => self.setup(request, cseq, names_session, titles),
+            _ if !names_session => respond(StatusCode::SessionNotFound),
             Method::Teardown => {
                 let reply = self.reply(StatusCode::Ok, cseq.as_deref());
                 self.ended();
                 Step::Leave(reply)
             }
             _ if self.tracks.len() > 1
-                && request.request_uri().and_then(Asked::read).is_some_and(|a| a.track.is_some()) =>
+                && request.request_uri().and_then(Asked::read).is_some_and(|url| url.track.is_some()) =>
             {
-                refuse(StatusCode::OnlyAggregateOperationAllowed)
+                respond(StatusCode::OnlyAggregateOperationAllowed)
             }
-            Method::Pause if self.state == State::Ready => refuse(StatusCode::Ok),
+            Method::Pause if self.state == State::Ready => respond(StatusCode::Ok),
             Method::Pause => {
                 self.cseq = cseq;
                 Step::Pause
@@ -203,82 +208,84 @@
     }
 
     fn describe(&self, request: &Request, cseq: Option<String>, titles: impl Fn(&str) -> Option<u8>) -> Step {
-        let asked = request.request_uri().and_then(Asked::read);
-        let tracks = asked.as_ref().and_then(|asked| titles(&asked.title));
-        let (Some(asked), Some(tracks), Some(url)) = (asked, tracks, request.request_uri()) else {
+        let presentation = request.request_uri().and_then(Asked::read);
+        let tracks = presentation.as_ref().and_then(|presentation| titles(&presentation.title));
+        let (Some(presentation), Some(tracks), Some(url)) = (presentation, tracks, request.request_uri())
+        else {
             return Step::Reply(self.reply(StatusCode::NotFound, cseq.as_deref()));
         };
-        let accepts = request.header(&headers::ACCEPT).is_none_or(|accept| {
+        let accepts_sdp = request.header(&headers::ACCEPT).is_none_or(|accept| {
             let accept = accept.as_str();
             accept.contains("application/sdp") || accept.contains("*/*") || accept.contains("application/*")
         });
-        if !accepts {
+        if !accepts_sdp {
             return Step::Reply(self.reply(StatusCode::NotAcceptable, cseq.as_deref()));
         }
         let mut reply = self.reply(StatusCode::Ok, cseq.as_deref());
         reply.insert_header(headers::CONTENT_TYPE, "application/sdp");
         let (host, port) = (url.host_str().unwrap_or("localhost"), url.port().unwrap_or(554));
-        reply.insert_header(headers::CONTENT_BASE, format!("rtsp://{host}:{port}/{}/", asked.title));
+        reply.insert_header(headers::CONTENT_BASE, format!("rtsp://{host}:{port}/{}/", presentation.title));
         let query = url.query().unwrap_or_default();
         let rates = self.clock_rates.iter().take(tracks.into());
-        Step::Reply(reply.replace_body(presentation::describe(&asked.title, query, rates.copied())))
+        Step::Reply(reply.replace_body(presentation::describe(&presentation.title, query, rates.copied())))
     }
 
     fn setup(
         &mut self,
         request: &Request,
         cseq: Option<String>,
-        named: bool,
+        names_session: bool,
         titles: impl Fn(&str) -> Option<u8>,
     ) -> Step {
-        let refuse = |this: &Server, status| Step::Reply(this.reply(status, cseq.as_deref()));
-        let Some(asked) = request.request_uri().and_then(Asked::read) else {
-            return refuse(self, StatusCode::NotFound);
+        let reject = |this: &Server, status| Step::Reply(this.reply(status, cseq.as_deref()));
+        let Some(presentation) = request.request_uri().and_then(Asked::read) else {
+            return reject(self, StatusCode::NotFound);
         };
-        let Some(tracks) = titles(&asked.title) else { return refuse(self, StatusCode::NotFound) };
-        // One session for each connection: a SETUP that names none, while there is one, can't be meant.
-        if self.state == State::Ready && !named {
-            return refuse(self, StatusCode::MethodNotValidInThisState);
+        let Some(tracks) = titles(&presentation.title) else { return reject(self, StatusCode::NotFound) };
+        // A connection has at most one session, so a SETUP must name the existing one.
+        if self.state == State::Ready && !names_session {
+            return reject(self, StatusCode::MethodNotValidInThisState);
         }
-        let track = match asked.track {
+        let track = match presentation.track {
             Some(track) if track < tracks => track,
-            Some(_) => return refuse(self, StatusCode::NotFound),
+            Some(_) => return reject(self, StatusCode::NotFound),
             None if tracks == 1 => 0,
-            None => return refuse(self, StatusCode::AggregateOperationNotAllowed),
+            None => return reject(self, StatusCode::AggregateOperationNotAllowed),
         };
         if self.channels(track).is_some() {
-            return refuse(self, StatusCode::MethodNotValidInThisState);
+            return reject(self, StatusCode::MethodNotValidInThisState);
         }
-        let left_out = Channels { rtp: track * 2, rtcp: track * 2 + 1 };
+        let default = Channels { rtp: track * 2, rtcp: track * 2 + 1 };
         let transport = request.header(&headers::TRANSPORT).map(|transport| transport.as_str());
-        let taken = |c: &Channels| self.tracks.iter().any(|(_, other)| other.overlaps(c));
-        let channels = transport.and_then(|t| messages::interleaved(t, left_out)).filter(|c| !taken(c));
-        let Some(channels) = channels else { return refuse(self, StatusCode::UnsupportedTransport) };
-        (self.cseq, self.asked) = (cseq, (track, channels));
-        if self.state == State::Ready { Step::Track { track } } else { Step::Ask(asked) }
+        let in_use = |c: &Channels| self.tracks.iter().any(|(_, other)| other.overlaps(c));
+        let channels = transport.and_then(|t| messages::interleaved(t, default)).filter(|c| !in_use(c));
+        let Some(channels) = channels else { return reject(self, StatusCode::UnsupportedTransport) };
+        (self.cseq, self.pending_setup) = (cseq, (track, channels));
+        if self.state == State::Ready { Step::Track { track } } else { Step::Ask(presentation) }
     }
 
-    /// The session that was asked for is set up at a node; `session` is its name towards the viewer.
+    /// Returns the response to the SETUP that requested the session, which is now set up at a node. `session` is the
+    /// identifier sent to the viewer.
     pub fn granted(&mut self, session: String, ssrc: u32) -> Response {
         (self.state, self.session) = (State::Ready, Some(session));
         self.track_granted(ssrc)
     }
 
-    /// The track that was asked for is set up at the node.
+    /// Returns the response to a SETUP whose track is now set up at the node.
     pub fn track_granted(&mut self, ssrc: u32) -> Response {
-        self.tracks.push(self.asked);
+        self.tracks.push(self.pending_setup);
         let cseq = self.cseq.take();
         let mut reply = self.reply(StatusCode::Ok, cseq.as_deref());
-        reply.insert_header(headers::TRANSPORT, self.asked.1.granted(Some(ssrc)));
+        reply.insert_header(headers::TRANSPORT, self.pending_setup.1.granted(Some(ssrc)));
         reply
     }
 
-    /// The track that the viewer's SETUP is for.
+    /// Returns the track of the viewer's last SETUP.
     pub fn track(&self) -> u8 {
-        self.asked.0
+        self.pending_setup.0
     }
 
-    /// No session: a busy reply with the seconds after which to come again, or a failure.
+    /// Returns the response to a SETUP whose session was rejected or failed. A busy reply has `retry_after` in seconds.
     pub fn turned_away(&mut self, status: StatusCode, retry_after: Option<f64>) -> Response {
         let cseq = self.cseq.take();
         self.ended();
@@ -289,7 +296,8 @@
         reply
     }
 
-    /// The node plays; `range` and `rtp_info` as it told them.
+    /// Returns the response to PLAY after the node accepted it. `range` and `rtp_info` are header values from the node's
+    /// response.
     pub fn plays(&mut self, range: Option<&str>, rtp_info: Option<&str>) -> Response {
         self.state = State::Playing;
         let cseq = self.cseq.take();
@@ -303,19 +311,20 @@
         reply
     }
 
+    /// Returns the response to PAUSE after the node accepted it.
     pub fn paused(&mut self) -> Response {
         self.state = State::Ready;
         let cseq = self.cseq.take();
         self.reply(StatusCode::Ok, cseq.as_deref())
     }
 
-    /// The node did not do what SETUP of a track, PLAY or PAUSE asked for.
+    /// Returns the response to a SETUP of another track, a PLAY or a PAUSE that the node did not carry out.
     pub fn failed(&mut self, status: StatusCode) -> Response {
         let cseq = self.cseq.take();
         self.reply(status, cseq.as_deref())
     }
 
-    /// The session is over.
+    /// Resets the connection to state [`State::Init`] after the end of its session.
     pub fn ended(&mut self) {
         (self.state, self.session) = (State::Init, None);
         self.tracks.clear();
--- a/crates/rtsp/tests/machines.rs
+++ b/crates/rtsp/tests/machines.rs
@@ -1,4 +1,5 @@
-//! The viewer's state machine, method by method in each state, and RTP across a change of rendition.
+//! Tests the server state machine with each method in each state, authentication, and the rewriting and measuring of RTP
+//! and RTCP across changes of rendition.
 
 use ashglade_rtsp::messages::{self, Channels};
 use ashglade_rtsp::rewrite::{Meter, Rewriter};
@@ -20,7 +21,7 @@
     request
 }
 
-fn status(response: &Response) -> String {
+fn describe_response(response: &Response) -> String {
     let extra: Vec<String> = [headers::TRANSPORT, headers::RETRY_AFTER, headers::UNSUPPORTED]
         .iter()
         .filter_map(|name| messages::header(response, name).map(|value| format!(" {name}: {value}")))
@@ -28,23 +29,24 @@
     format!("{}{}", u16::from(response.status()), extra.concat())
 }
 
-fn step(step: &Step) -> String {
+fn describe_step(step: &Step) -> String {
     match step {
-        Step::Reply(response) => status(response),
-        Step::Ask(asked) => format!(
-            "asks for {} group {:?} top {:?} rest {}",
-            asked.title, asked.group, asked.top, asked.rest
+        Step::Reply(response) => describe_response(response),
+        Step::Ask(request) => format!(
+            "requests {} group {:?} top {:?} forwards {}",
+            request.title, request.group, request.top, request.rest
         ),
         Step::Track { track } => format!("sets up track {track}"),
         Step::Play { range } => format!("plays {range:?}"),
         Step::Pause => "pauses".into(),
-        Step::Leave(response) => format!("leaves, {}", status(response)),
+        Step::Leave(response) => format!("ends the session, {}", describe_response(response)),
     }
 }
 
 const TCP: &str = "RTP/AVP/TCP;unicast;interleaved=4-5";
 
-fn in_state(state: State) -> Server {
+/// Returns a server whose session is in the given state.
+fn server_in_state(state: State) -> Server {
     let mut server = Server::new(60, &[90_000, 48_000]);
     if state != State::Init {
         server.request(&request(Method::Setup, None, Some(TCP)), |_| Some(1));
@@ -74,57 +76,68 @@
     ];
     let mut table = String::new();
     for method in methods {
-        let answers = [State::Init, State::Ready, State::Playing].map(|state| {
+        let actions = [State::Init, State::Ready, State::Playing].map(|state| {
             let session = (state != State::Init).then_some("abc");
-            step(&in_state(state).request(&request(method.clone(), session, Some(TCP)), |_| Some(1)))
+            describe_step(
+                &server_in_state(state).request(&request(method.clone(), session, Some(TCP)), |_| Some(1)),
+            )
         });
-        table += &format!("{}: {}\n", <&str>::from(&method), answers.join(" | "));
+        table += &format!("{}: {}\n", <&str>::from(&method), actions.join(" | "));
     }
     expect![[r#"
         OPTIONS: 200 | 200 | 200
         DESCRIBE: 200 | 200 | 200
         ANNOUNCE: 405 | 405 | 405
-        SETUP: asks for renewal group Some("a") top Some(2) rest viewer=1.0 | 455 | 455
+        SETUP: requests renewal group Some("a") top Some(2) forwards viewer=1.0 | 455 | 455
         PLAY: 455 | plays None | plays None
         PAUSE: 455 | 200 | pauses
         GET_PARAMETER: 200 | 200 | 200
         SET_PARAMETER: 200 | 200 | 200
         RECORD: 405 | 405 | 405
         REDIRECT: 405 | 405 | 405
-        TEARDOWN: 454 | leaves, 200 | leaves, 200
+        TEARDOWN: 454 | ends the session, 200 | ends the session, 200
     "#]]
     .assert_eq(&table);
 }
 
 #[test]
-fn what_is_wrong_with_a_request_has_its_own_answer() {
-    let mut told = String::new();
-    let mut tell = |what: &str, answer: Step| told += &format!("{what}: {}\n", step(&answer));
+fn each_invalid_request_has_its_status() {
+    let mut trace = String::new();
+    let mut record = |case: &str, step: Step| trace += &format!("{case}: {}\n", describe_step(&step));
     let setup = |transport: &str| request(Method::Setup, None, Some(transport));
-    tell("udp", in_state(State::Init).request(&setup("RTP/AVP;unicast;client_port=5000-5001"), |_| Some(1)));
-    tell(
+    record(
+        "udp",
+        server_in_state(State::Init).request(&setup("RTP/AVP;unicast;client_port=5000-5001"), |_| Some(1)),
+    );
+    record(
         "udp, then tcp",
-        in_state(State::Init).request(&setup(&format!("RTP/AVP;unicast,{TCP}")), |_| Some(1)),
+        server_in_state(State::Init).request(&setup(&format!("RTP/AVP;unicast,{TCP}")), |_| Some(1)),
+    );
+    record(
+        "no transport",
+        server_in_state(State::Init).request(&request(Method::Setup, None, None), |_| Some(1)),
     );
-    tell("no transport", in_state(State::Init).request(&request(Method::Setup, None, None), |_| Some(1)));
-    tell("unknown title", in_state(State::Init).request(&setup(TCP), |_| None));
-    tell(
+    record("unknown title", server_in_state(State::Init).request(&setup(TCP), |_| None));
+    record(
         "wrong session",
-        in_state(State::Ready).request(&request(Method::Play, Some("x"), None), |_| Some(1)),
+        server_in_state(State::Ready).request(&request(Method::Play, Some("x"), None), |_| Some(1)),
+    );
+    record(
+        "no session",
+        server_in_state(State::Ready).request(&request(Method::Play, None, None), |_| Some(1)),
     );
-    tell("no session", in_state(State::Ready).request(&request(Method::Play, None, None), |_| Some(1)));
     let mut required = setup(TCP);
     required.insert_header(headers::REQUIRE, "com.example.x");
-    tell("required", in_state(State::Init).request(&required, |_| Some(1)));
+    record("required", server_in_state(State::Init).request(&required, |_| Some(1)));
     let mut bare = setup(TCP);
     bare.remove_header(&headers::CSEQ);
-    tell("no CSeq", in_state(State::Init).request(&bare, |_| Some(1)));
-    let mut server = in_state(State::Init);
+    record("no CSeq", server_in_state(State::Init).request(&bare, |_| Some(1)));
+    let mut server = server_in_state(State::Init);
     server.request(&setup(TCP), |_| Some(1));
-    tell("busy", Step::Reply(server.turned_away(StatusCode::ServiceUnavailable, Some(1.2))));
+    record("busy", Step::Reply(server.turned_away(StatusCode::ServiceUnavailable, Some(1.2))));
     expect![[r#"
         udp: 461
-        udp, then tcp: asks for renewal group Some("a") top Some(2) rest viewer=1.0
+        udp, then tcp: requests renewal group Some("a") top Some(2) forwards viewer=1.0
         no transport: 461
         unknown title: 404
         wrong session: 454
@@ -133,13 +146,13 @@
         no CSeq: 400
         busy: 503 Retry-After: 2
     "#]]
-    .assert_eq(&told);
+    .assert_eq(&trace);
 }
 
 #[test]
-fn transports_are_taken_in_order_of_preference() {
-    let left_out = Channels { rtp: 0, rtcp: 1 };
-    let told: Vec<String> = [
+fn the_first_interleaved_transport_is_selected() {
+    let default = Channels { rtp: 0, rtcp: 1 };
+    let results: Vec<String> = [
         "RTP/AVP/TCP",
         "RTP/AVP/TCP;interleaved=6",
         "RTP/AVP/TCP;interleaved=6-9",
@@ -150,7 +163,7 @@
         "RTP/AVP/UDP;unicast",
     ]
     .iter()
-    .map(|t| format!("{t} -> {:?}", messages::interleaved(t, left_out).map(|c| (c.rtp, c.rtcp))))
+    .map(|t| format!("{t} -> {:?}", messages::interleaved(t, default).map(|c| (c.rtp, c.rtcp))))
     .collect();
     expect![[r#"
         RTP/AVP/TCP -> Some((0, 1))
@@ -161,23 +174,24 @@
         RTP/AVP/TCP;interleaved=3-3 -> None
         RTP/AVP/TCP;multicast -> None
         RTP/AVP/UDP;unicast -> None"#]]
-    .assert_eq(&told.join("\n"));
+    .assert_eq(&results.join("\n"));
 }
 
-fn packet(seq: u16, ts: u32, ssrc: u32) -> Vec<u8> {
+/// Builds an RTP packet without payload.
+fn rtp_packet(seq: u16, timestamp: u32, ssrc: u32) -> Vec<u8> {
     let mut packet = vec![0x80, 96];
     packet.extend(seq.to_be_bytes());
-    packet.extend(ts.to_be_bytes());
+    packet.extend(timestamp.to_be_bytes());
     packet.extend(ssrc.to_be_bytes());
     packet
 }
 
 #[test]
-fn one_stream_across_renditions_wraps_and_reordering() {
+fn the_stream_is_continuous_across_renditions_wraparound_and_reordering() {
     let mut rewriter = Rewriter::new(0xA, 90_000);
-    let mut told = String::new();
-    // Time in ms, then what the node sends. A new SSRC is another rendition.
-    for (ms, seq, ts, ssrc) in [
+    let mut trace = String::new();
+    // Time in ms, then sequence number, timestamp and SSRC from the node. A new SSRC is another rendition.
+    for (ms, seq, timestamp, ssrc) in [
         (0, 65_534, 1000, 1),
         (20, 65_535, 2800, 1),
         (40, 1, 6400, 1),
@@ -187,10 +201,10 @@
         (200, 9, u32::MAX - 10, 3),
         (220, 10, 1789, 3),
     ] {
-        let mut packet = packet(seq, ts, ssrc);
+        let mut packet = rtp_packet(seq, timestamp, ssrc);
         assert!(rewriter.rtp(&mut packet, ms * 1000));
         let word = |at: usize| u32::from_be_bytes(packet[at..at + 4].try_into().unwrap());
-        told += &format!("{ms}: seq {} ts {} ssrc {:x}\n", word(0) & 0xffff, word(4), word(8));
+        trace += &format!("{ms}: seq {} ts {} ssrc {:x}\n", word(0) & 0xffff, word(4), word(8));
     }
     expect![[r#"
         0: seq 65534 ts 1000 ssrc a
@@ -202,43 +216,47 @@
         200: seq 4 ts 20800 ssrc a
         220: seq 5 ts 22600 ssrc a
     "#]]
-    .assert_eq(&told);
+    .assert_eq(&trace);
     assert!(!rewriter.rtp(&mut [0x80; 5], 0), "too short to be RTP");
     assert!(
-        !rewriter.rtp(&mut packet(1, 1, 1).iter().map(|b| b & 0x3f).collect::<Vec<_>>(), 0),
+        !rewriter.rtp(&mut rtp_packet(1, 1, 1).iter().map(|b| b & 0x3f).collect::<Vec<_>>(), 0),
         "another version"
     );
 }
 
 #[test]
-fn what_was_delivered_shows_in_the_headers() {
-    // 50 packets a second for two seconds; each carries 20 ms.
-    let share = |kept: fn(u32) -> bool, pace: f64| {
+fn the_meter_measures_the_delivered_fraction_from_headers() {
+    // 50 packets per second for two seconds; each carries 20 ms.
+    let delivered_fraction = |arrives: fn(u32) -> bool, speed: f64| {
         let mut meter = Meter::new(90_000, 0);
-        meter.saw(&packet(0, 0, 1));
-        for n in 1..=(100.0 * pace) as u32 {
-            if kept(n) {
-                meter.saw(&packet(n as u16, n * 1800, 1));
+        meter.saw(&rtp_packet(0, 0, 1));
+        for n in 1..=(100.0 * speed) as u32 {
+            if arrives(n) {
+                meter.saw(&rtp_packet(n as u16, n * 1800, 1));
             }
         }
         format!("{:.2}", meter.take(2_000_000).unwrap().share)
     };
-    let told =
-        [share(|_| true, 1.0), share(|n| n % 2 == 0, 1.0), share(|_| true, 0.45), share(|_| false, 1.0)];
-    expect!["1.00 0.50 0.50 0.00"].assert_eq(&told.join(" "));
+    let fractions = [
+        delivered_fraction(|_| true, 1.0),
+        delivered_fraction(|n| n % 2 == 0, 1.0),
+        delivered_fraction(|_| true, 0.45),
+        delivered_fraction(|_| false, 1.0),
+    ];
+    expect!["1.00 0.50 0.50 0.00"].assert_eq(&fractions.join(" "));
     let mut meter = Meter::new(90_000, 0);
-    assert_eq!(meter.take(1_000_000), None, "its pace is not known yet");
+    assert_eq!(meter.take(1_000_000), None, "the packet interval is not known yet");
     assert_eq!(meter.take(2_000_000).unwrap().share, 0.0, "a node that sends nothing delivers nothing");
-    // A packet each 900 ms: one second of it tells nothing, six do.
+    // One packet every 900 ms: a window of one second is too short, one of six seconds is sufficient.
     let mut meter = Meter::new(90_000, 0);
-    (0..8).for_each(|n| meter.saw(&packet(n, u32::from(n) * 81_000, 1)));
+    (0..8).for_each(|n| meter.saw(&rtp_packet(n, u32::from(n) * 81_000, 1)));
     assert_eq!(meter.take(1_000_000), None);
     assert!(meter.take(6_300_000).unwrap().share > 0.98);
 }
 
 #[test]
-fn further_tracks_join_the_session_that_is_there() {
-    let ask = |path: &str, session: Option<&str>, method: Method, transport: &str| {
+fn further_tracks_are_added_to_the_session() {
+    let build = |path: &str, session: Option<&str>, method: Method, transport: &str| {
         let url = Url::parse(&format!("rtsp://h/{path}")).unwrap();
         let mut request = messages::request(method, &url, 7);
         request.insert_header(headers::TRANSPORT, transport);
@@ -247,57 +265,69 @@
         }
         request
     };
-    let two = |_: &str| Some(2);
-    let mut told = String::new();
+    let two_tracks = |_: &str| Some(2);
+    let mut trace = String::new();
     let mut server = Server::new(60, &[90_000, 48_000]);
-    let mut tell = |what: &str, answer: Step| told += &format!("{what}: {}\n", step(&answer));
+    let mut record = |case: &str, step: Step| trace += &format!("{case}: {}\n", describe_step(&step));
     let tcp = "RTP/AVP/TCP;unicast;interleaved=0-1";
-    tell("the whole of two", server.request(&ask("t", None, Method::Setup, tcp), two));
-    tell("a third", server.request(&ask("t/track3", None, Method::Setup, tcp), two));
-    tell("audio first", server.request(&ask("t/track2", None, Method::Setup, tcp), two));
-    tell("granted", Step::Reply(server.granted("abc".into(), 0x22)));
-    tell(
+    record(
+        "SETUP of the whole presentation",
+        server.request(&build("t", None, Method::Setup, tcp), two_tracks),
+    );
+    record("unknown third track", server.request(&build("t/track3", None, Method::Setup, tcp), two_tracks));
+    record("audio first", server.request(&build("t/track2", None, Method::Setup, tcp), two_tracks));
+    record("accepted", Step::Reply(server.granted("abc".into(), 0x22)));
+    record(
         "video without the session",
-        server.request(&ask("t/track1", None, Method::Setup, "RTP/AVP/TCP"), two),
+        server.request(&build("t/track1", None, Method::Setup, "RTP/AVP/TCP"), two_tracks),
+    );
+    record(
+        "audio again",
+        server.request(&build("t/track2", Some("abc"), Method::Setup, "RTP/AVP/TCP"), two_tracks),
+    );
+    record(
+        "video on the channels of audio",
+        server.request(&build("t/track1", Some("abc"), Method::Setup, tcp), two_tracks),
     );
-    tell("audio again", server.request(&ask("t/track2", Some("abc"), Method::Setup, "RTP/AVP/TCP"), two));
-    tell("on its channels", server.request(&ask("t/track1", Some("abc"), Method::Setup, tcp), two));
     let other = "RTP/AVP/TCP;unicast;interleaved=4-5";
-    tell("video", server.request(&ask("t/track1", Some("abc"), Method::Setup, other), two));
-    tell("granted", Step::Reply(server.track_granted(0x11)));
-    tell("play one of two", server.request(&ask("t/track1", Some("abc"), Method::Play, other), two));
-    tell("play both", server.request(&ask("t", Some("abc"), Method::Play, other), two));
+    record("video", server.request(&build("t/track1", Some("abc"), Method::Setup, other), two_tracks));
+    record("accepted", Step::Reply(server.track_granted(0x11)));
+    record(
+        "play one of two",
+        server.request(&build("t/track1", Some("abc"), Method::Play, other), two_tracks),
+    );
+    record("play both", server.request(&build("t", Some("abc"), Method::Play, other), two_tracks));
     expect![[r#"
-        the whole of two: 459
-        a third: 404
-        audio first: asks for t group None top None rest 
-        granted: 200 Transport: RTP/AVP/TCP;unicast;interleaved=0-1;ssrc=00000022
+        SETUP of the whole presentation: 459
+        unknown third track: 404
+        audio first: requests t group None top None forwards 
+        accepted: 200 Transport: RTP/AVP/TCP;unicast;interleaved=0-1;ssrc=00000022
         video without the session: 455
         audio again: 455
-        on its channels: 461
+        video on the channels of audio: 461
         video: sets up track 0
-        granted: 200 Transport: RTP/AVP/TCP;unicast;interleaved=4-5;ssrc=00000011
+        accepted: 200 Transport: RTP/AVP/TCP;unicast;interleaved=4-5;ssrc=00000011
         play one of two: 460
         play both: plays None
     "#]]
-    .assert_eq(&told);
+    .assert_eq(&trace);
 }
 
 #[test]
-fn digest_authentication_as_the_rfc_computes_it() {
+fn digest_authentication_follows_rfc_2617() {
     use ashglade_rtsp::digest::{Users, answer};
-    // The example of RFC 2617, 3.5, with the method it was made for.
-    let more = Some(("auth", "00000001", "0a4f113b"));
+    // The example of RFC 2617, 3.5, which uses the method GET.
+    let qop = Some(("auth", "00000001", "0a4f113b"));
     let nonce = "dcd98b7102dd2f0e8b11d0f600bfb0c093";
     let get = Method::Extension("GET".parse().unwrap());
     let response =
-        answer("testrealm@host.com", "Mufasa", "Circle Of Life", nonce, &get, "/dir/index.html", more);
+        answer("testrealm@host.com", "Mufasa", "Circle Of Life", nonce, &get, "/dir/index.html", qop);
     assert_eq!(response, "6629fae49393a05397450978507c4ef1");
 
     let users = Users { realm: "lessons".into(), users: vec![("agent".into(), "pa,ss".into())] };
     let mut server = Server::new(60, &[90_000]).guarded(std::sync::Arc::new(users), "n1".into());
-    let mut told = String::new();
-    for (what, user, password, nonce, uri) in [
+    let mut trace = String::new();
+    for (case, user, password, nonce, uri) in [
         ("nothing", "", "", "", ""),
         ("right", "agent", "pa,ss", "n1", "rtsp://h/t"),
         ("wrong password", "agent", "pass", "n1", "rtsp://h/t"),
@@ -312,10 +342,10 @@
             );
             request.insert_header(headers::AUTHORIZATION, header);
         }
-        told += &format!("{what}: {}\n", step(&server.request(&request, |_| Some(1))));
+        trace += &format!("{case}: {}\n", describe_step(&server.request(&request, |_| Some(1))));
     }
     let options = request(Method::Options, None, None);
-    told += &format!("OPTIONS: {}\n", step(&server.request(&options, |_| Some(1))));
+    trace += &format!("OPTIONS: {}\n", describe_step(&server.request(&options, |_| Some(1))));
     expect![[r#"
         nothing: 401
         right: 200
@@ -324,24 +354,24 @@
         another connection's nonce: 401
         OPTIONS: 200
     "#]]
-    .assert_eq(&told);
+    .assert_eq(&trace);
 }
 
 #[test]
-fn rtcp_tells_of_the_stream_that_the_viewer_sees() {
+fn rtcp_matches_the_stream_that_the_viewer_receives() {
     use ashglade_rtsp::rtcp;
     let mut rewriter = Rewriter::new(0xA, 90_000);
     for n in 0..10u16 {
-        rewriter.rtp(&mut packet(n, u32::from(n) * 1800, 1), 0);
+        rewriter.rtp(&mut rtp_packet(n, u32::from(n) * 1800, 1), 0);
     }
-    rewriter.rtp(&mut packet(70, 5, 2), 1_000_000);
-    // A sender report and a description by the new source, which has sent one packet.
+    rewriter.rtp(&mut rtp_packet(70, 5, 2), 1_000_000);
+    // A sender report and a source description of the new source, which has sent one packet.
     let mut report =
         vec![0x80, 200, 0, 6, 0, 0, 0, 2, 1, 2, 3, 4, 5, 6, 7, 8, 0, 0, 0, 5, 0, 0, 0, 1, 0, 0, 0, 9];
     report.extend([0x81, 202, 0, 3, 0, 0, 0, 2, 1, 1, b'n', 0, 0, 0, 0, 0]);
     assert!(rewriter.rtcp(&mut report));
     let word = |at: usize| u32::from_be_bytes(report[at..at + 4].try_into().unwrap());
-    let told = format!(
+    let summary = format!(
         "ssrc {:x} and {:x}, ntp kept {}, ts {}, {} packets",
         word(4),
         word(32),
@@ -349,11 +379,11 @@
         word(16),
         word(20)
     );
-    expect!["ssrc a and a, ntp kept true, ts 106200, 11 packets"].assert_eq(&told);
-    assert!(!rewriter.rtcp(&mut [0x80, 200, 0, 6, 0, 0, 0, 1].repeat(4)), "the source before");
-    assert!(!rewriter.rtcp(&mut [0x80, 200, 0, 60, 0, 0, 0, 2]), "longer than it is");
+    expect!["ssrc a and a, ntp kept true, ts 106200, 11 packets"].assert_eq(&summary);
+    assert!(!rewriter.rtcp(&mut [0x80, 200, 0, 6, 0, 0, 0, 1].repeat(4)), "the previous source");
+    assert!(!rewriter.rtcp(&mut [0x80, 200, 0, 60, 0, 0, 0, 2]), "its length exceeds the packet");
     assert!(rtcp::says_bye(&rtcp::bye(5)));
-    // A receiver report: a quarter lost.
+    // A receiver report with a quarter of the packets lost.
     let report = [
         0x81, 201, 0, 7, 0, 0, 0, 9, 0, 0, 0, 0xA, 64, 0, 0, 3, 0, 0, 0, 9, 0, 0, 0, 44, 0, 0, 0, 0, 0, 0, 0,
         0,
