--- a/crates/hls/src/lib.rs
+++ b/crates/hls/src/lib.rs
@@ -1,6 +1,7 @@
-//! HLS (RFC 8216) with a session per player. Each player receives its own playlists: [`playlist`] rewrites those of the
-//! media node, [`token`] binds every URI in them to the session, and [`session`] derives the state of the session from
-//! stateless requests. The crate performs no I/O, reads no clock, starts no threads and makes no placement decisions.
+//! HLS (RFC 8216) with a session per player. Each player receives its own playlists: [`playlist`] rewrites
+//! those of the media node, [`token`] binds every URI in them to the session, and [`session`] derives the
+//! state of the session from stateless requests. The crate performs no I/O, reads no clock, starts no threads
+//! and makes no placement decisions.
 
 pub mod playlist;
 pub mod session;
--- a/crates/hls/src/playlist.rs
+++ b/crates/hls/src/playlist.rs
@@ -1,10 +1,10 @@
-//! Rewrites playlists line by line: every URI is replaced by a URI of the session, variants above the rung are removed,
-//! and unknown tags keep their text and position. A parser that builds a tree and serializes it again would move or lose
-//! unknown tags; see `docs/hls.md`.
+//! Rewrites playlists line by line: every URI is replaced by a URI of the session, variants above the rung
+//! are removed, and unknown tags keep their text and position. A parser that builds a tree and serializes it
+//! again would move or lose unknown tags; see `docs/hls.md`.
 //!
-//! Low-Latency HLS tags (draft of the second edition of RFC 8216) are removed, as they require blocking playlist reloads
-//! and partial segments whose length is not known yet. The playlist remains valid without them, and players fall back to
-//! full segments.
+//! Low-Latency HLS tags (draft of the second edition of RFC 8216) are removed, as they require blocking
+//! playlist reloads and partial segments whose length is not known yet. The playlist remains valid without
+//! them, and players fall back to full segments.
 
 use url::Url;
 
@@ -84,9 +84,9 @@
 }
 
 impl Place<'_> {
-    /// A fast path of [`Place::resolve`] for plain relative URIs, which nearly all are. Returns `None` if the URI has a
-    /// scheme, an absolute path, a dot segment or characters that may need encoding, so that the result always equals
-    /// that of a join.
+    /// A fast path of [`Place::resolve`] for plain relative URIs, which nearly all are. Returns `None` if the
+    /// URI has a scheme, an absolute path, a dot segment or characters that may need encoding, so that the
+    /// result always equals that of a join.
     fn resolve_plain(&self, uri: &str) -> Option<String> {
         let unreserved = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.' | b'~');
         let path = uri.split('?').next().unwrap_or_default();
@@ -117,7 +117,8 @@
     }
 }
 
-/// Checks a playlist's size, encoding and first line, and returns its lines with their numbers, starting at 1.
+/// Checks a playlist's size, encoding and first line, and returns its lines with their numbers, starting at
+/// 1.
 fn numbered_lines(bytes: &[u8]) -> Result<impl Iterator<Item = (usize, &str)>, Trouble> {
     if bytes.len() > MOST_BYTES {
         return Err(Trouble::TooLong { bytes: bytes.len() });
@@ -176,9 +177,10 @@
     Ok(rewritten)
 }
 
-/// Rewrites a multivariant playlist for a session limited to `max_rate` kB/s. If all variants exceed the limit, the lowest
-/// one is kept: the service group's floor is a rung of the ladder, and the node's lowest variant is closest to it.
-/// `session_uri` returns the session's URI for the kind of a request and a path relative to the title's folder.
+/// Rewrites a multivariant playlist for a session limited to `max_rate` kB/s. If all variants exceed the
+/// limit, the lowest one is kept: the service group's floor is a rung of the ladder, and the node's lowest
+/// variant is closest to it. `session_uri` returns the session's URI for the kind of a request and a path
+/// relative to the title's folder.
 pub fn master(
     bytes: &[u8],
     place: &Place,
@@ -219,7 +221,8 @@
         if text.starts_with("#EXT-X-STREAM-INF:") {
             variant_lines = format!("{text}\n");
         } else if text.starts_with("#EXT-X-I-FRAME-STREAM-INF:") {
-            // I-frame streams are variants as well and subject to the limit. Without them, only trick play is missing.
+            // I-frame streams are variants as well and subject to the limit. Without them, only trick play is
+            // missing.
             let attributes = parse_attributes(line, text.split_once(':').map_or("", |(_, list)| list))?;
             let bandwidth = attributes
                 .iter()
@@ -246,8 +249,8 @@
     Ok(Master { text: output, left_out: variants.len() - offered.len(), variants })
 }
 
-/// Returns the indices of the variants within `max_rate` kB/s, or of the lowest variant if all exceed it. Returns `None`
-/// if there are no variants.
+/// Returns the indices of the variants within `max_rate` kB/s, or of the lowest variant if all exceed it.
+/// Returns `None` if there are no variants.
 pub fn offered(variants: &[Variant], max_rate: f64) -> Option<Vec<usize>> {
     let within: Vec<usize> = (0..variants.len()).filter(|&i| variants[i].rate <= max_rate).collect();
     if !within.is_empty() {
@@ -257,7 +260,8 @@
     Some(vec![lowest])
 }
 
-/// Rewrites a media playlist. `session_uri` returns the session's URI for a path relative to the title's folder.
+/// Rewrites a media playlist. `session_uri` returns the session's URI for a path relative to the title's
+/// folder.
 pub fn media(bytes: &[u8], place: &Place, session_uri: &dyn Fn(&str) -> String) -> Result<Media, Trouble> {
     let mut rewritten =
         Media { text: String::with_capacity(bytes.len() * 2), target: 0.0, ended: false, segments: 0 };
--- a/crates/hls/src/session.rs
+++ b/crates/hls/src/session.rs
@@ -1,11 +1,13 @@
-//! The session state machine over stateless HTTP. The first request of the multivariant playlist requests the session;
-//! later requests show that it plays, and their absence ends it.
+//! The session state machine over stateless HTTP. The first request of the multivariant playlist requests the
+//! session; later requests show that it plays, and their absence ends it.
 //!
-//! | state | playlist request | segment request | node lost | no requests |
+//! A session becomes idle after `IDLE_TARGET_DURATIONS` without a request.
+//!
+//! | state | playlist request | segment request | node lost | idle |
 //! | --- | --- | --- | --- | --- |
-//! | requested | waits for the engine | waits | - | the engine's setup timeout applies |
-//! | playing | fetched, within the rung | fetched, if within the rung | node lost | ended, after some target durations |
-//! | node lost | requests another node, waits | requests another node, waits | - | ended, after some target durations |
+//! | requested | waits for the engine | waits | - | never; the engine's setup timeout applies |
+//! | playing | fetched, within the rung | fetched, if within the rung | node lost | ended |
+//! | node lost | waits for another node | waits for another node | - | ended |
 //! | ended | gone | gone | - | - |
 
 use ashglade::time::{Instant, Span};
@@ -17,9 +19,11 @@
 pub enum Ask {
     /// The multivariant playlist.
     Master,
-    /// The media playlist of the variant with this index, or `None` for a rendition shared by variants, such as audio.
+    /// The media playlist of the variant with this index, or `None` for a rendition shared by variants, such
+    /// as audio.
     Media(Option<usize>),
-    /// Any other resource, such as a segment, a key or an initialization section, with the variant as for a playlist.
+    /// Any other resource, such as a segment, a key or an initialization section, with the variant as for a
+    /// playlist.
     Part(Option<usize>),
 }
 
@@ -39,7 +43,8 @@
 }
 
 impl Ask {
-    /// Parses the kind of a playlist or resource request from a URI. The multivariant playlist is not accepted.
+    /// Parses the kind of a playlist or resource request from a URI. The multivariant playlist is not
+    /// accepted.
     pub fn read(text: &str) -> Option<Ask> {
         let mut chars = text.chars();
         let kind = chars.next()?;
@@ -60,7 +65,8 @@
 pub enum Step {
     /// Keep the request until the engine responds.
     Wait,
-    /// Fetch the resource from the node. For a variant's media playlist, fetch that of the variant with this index.
+    /// Fetch the resource from the node. For a variant's media playlist, fetch that of the variant with this
+    /// index.
     Fetch(Option<usize>),
     /// Reject the request: the variant is no longer offered, and the player falls back to another one.
     Withdrawn,
@@ -93,7 +99,8 @@
     variants: Vec<Variant>,
     /// Maximum peak rate of a variant, in kB/s.
     max_rate: f64,
-    /// The maximum rate before it was last lowered, and the time until which segments within it are still served.
+    /// The maximum rate before it was last lowered, and the time until which segments within it are still
+    /// served.
     previous_max_rate: Option<(f64, Instant)>,
     target_duration: Span,
     /// Number of responses in progress.
@@ -102,15 +109,16 @@
     last_activity: Instant,
 }
 
-/// Number of target durations without a request after which a session ends. An active player reloads a live playlist once
-/// per target duration (RFC 8216, 6.3.4) and prefetches a recorded one; its buffer may hold several segments.
+/// Number of target durations without a request after which a session ends. An active player reloads a live
+/// playlist once per target duration (RFC 8216, 6.3.4) and prefetches a recorded one; its buffer may hold
+/// several segments.
 const IDLE_TARGET_DURATIONS: f64 = 5.0;
 /// Target duration assumed before the first media playlist, in seconds.
 const DEFAULT_TARGET_DURATION_SECONDS: f64 = 2.0;
 /// Lower bound of the target duration, in seconds.
 const MIN_TARGET_DURATION_SECONDS: f64 = 1.0;
-/// Number of target durations for which segments of a withdrawn variant are still served, as the player has already
-/// loaded its playlist.
+/// Number of target durations for which segments of a withdrawn variant are still served, as the player has
+/// already loaded its playlist.
 const WITHDRAWN_VARIANT_GRACE_TARGET_DURATIONS: f64 = 2.0;
 /// Ratio of a variant's permitted peak rate to the rate of the rung.
 const PEAK_TO_RUNG_RATE: f64 = 1.1;
@@ -142,8 +150,9 @@
         }
     }
 
-    /// Sets the variants of the node's multivariant playlist. Returns false, and keeps the previous ones, if the session
-    /// moved to a node whose variants differ, as the URIs that the player holds would refer to other variants there.
+    /// Sets the variants of the node's multivariant playlist. Returns false, and keeps the previous ones, if
+    /// the session moved to a node whose variants differ, as the URIs that the player holds would refer to
+    /// other variants there.
     pub fn has(&mut self, variants: Vec<Variant>) -> bool {
         let paths = |variants: &[Variant]| {
             variants.iter().map(|v| v.path.split('?').next().map(str::to_string)).collect::<Vec<_>>()
@@ -178,7 +187,8 @@
         self.phase = Phase::Ended;
     }
 
-    /// Records the loss of the node. Returns whether the session was playing, that is, whether the loss is new.
+    /// Records the loss of the node. Returns whether the session was playing, that is, whether the loss is
+    /// new.
     pub fn lost(&mut self) -> bool {
         let was_playing = self.phase == Phase::Playing;
         if was_playing {
@@ -187,8 +197,8 @@
         was_playing
     }
 
-    /// Returns whether another node has to be requested from the engine, because the node was lost and the player has
-    /// sent a request since. Returns true once per loss.
+    /// Returns whether another node has to be requested from the engine, because the node was lost and the
+    /// player has sent a request since. Returns true once per loss.
     pub fn seeks(&mut self) -> bool {
         let needs_node = self.phase == Phase::NodeLost;
         if needs_node {
@@ -260,8 +270,8 @@
         self.active_responses
     }
 
-    /// Returns the time at which the session becomes idle unless the player sends another request. Returns `None` while a
-    /// response is in progress or the engine has not responded.
+    /// Returns the time at which the session becomes idle unless the player sends another request. Returns
+    /// `None` while a response is in progress or the engine has not responded.
     pub fn quiet_at(&self) -> Option<Instant> {
         (self.active_responses == 0 && self.phase != Phase::Requested)
             .then(|| self.last_activity + self.target_duration * IDLE_TARGET_DURATIONS)
--- a/crates/hls/src/token.rs
+++ b/crates/hls/src/token.rs
@@ -1,9 +1,9 @@
-//! Signed tokens that bind requests to a session. Every URI given to a player carries a token and a signature of its path,
-//! so that a player can request only the URIs that it was given.
+//! Signed tokens that bind requests to a session. Every URI given to a player carries a token and a signature
+//! of its path, so that a player can request only the URIs that it was given.
 //!
-//! Signatures use HMAC-SHA-256 (RFC 2104, FIPS 180-4), truncated to 128 bits for tokens and 64 bits for paths (RFC 2104,
-//! section 5). The first key signs and all keys verify, so that keys can be rotated without losing sessions: append the
-//! new key, then move it to the front, then remove the old one.
+//! Signatures use HMAC-SHA-256 (RFC 2104, FIPS 180-4), truncated to 128 bits for tokens and 64 bits for paths
+//! (RFC 2104, section 5). The first key signs and all keys verify, so that keys can be rotated without losing
+//! sessions: append the new key, then move it to the front, then remove the old one.
 
 use ashglade::ids::{GroupId, SessionId, TitleId};
 use base64::Engine as _;
@@ -106,8 +106,8 @@
         URL_SAFE_NO_PAD.encode(bytes)
     }
 
-    /// Returns the contents of a token if one of the keys signed it, it is for this title and it has not expired at `now`,
-    /// a Unix time in seconds.
+    /// Returns the contents of a token if one of the keys signed it, it is for this title and it has not
+    /// expired at `now`, a Unix time in seconds.
     pub fn verify(&self, text: &str, title: TitleId, now: u64) -> Result<Token, Forged> {
         let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| Forged::Malformed)?;
         if bytes.len() != TOKEN_BODY_BYTES + TOKEN_SIGNATURE_BYTES {
--- a/crates/hls/tests/read_back.rs
+++ b/crates/hls/tests/read_back.rs
@@ -1,5 +1,5 @@
-//! Generates playlists from a seed, rewrites them and parses the result with two parsers that share no code with the
-//! rewriter: a grammar of RFC 8216 and `m3u8-rs`.
+//! Generates playlists from a seed, rewrites them and parses the result with two parsers that share no code
+//! with the rewriter: a grammar of RFC 8216 and `m3u8-rs`.
 
 use ashglade_hls::Ask;
 use ashglade_hls::playlist::{self, Place};
--- a/crates/rtsp/src/client.rs
+++ b/crates/rtsp/src/client.rs
@@ -1,6 +1,6 @@
-//! The RTSP client state machine (RFC 2326, A.1) of one session at a media node, without I/O. It builds requests, matches
-//! responses to them and detects overdue responses. Every state can be left: by a response, by the timeout of a response
-//! or by the end of the connection.
+//! The RTSP client state machine (RFC 2326, A.1) of one session at a media node, without I/O. It builds
+//! requests, matches responses to them and detects overdue responses. Every state can be left: by a response,
+//! by the timeout of a response or by the end of the connection.
 
 use std::collections::VecDeque;
 
@@ -65,7 +65,8 @@
     url: Url,
     /// Session identifier assigned by the node.
     session: Option<String>,
-    /// Seconds after which the node drops an idle session. 60 if the node does not specify it (RFC 2326, 12.37).
+    /// Seconds after which the node drops an idle session. 60 if the node does not specify it (RFC 2326,
+    /// 12.37).
     timeout: u32,
     /// CSeq of the last request.
     cseq: u32,
@@ -147,8 +148,8 @@
         self.new_request(Method::Pause, &url, Purpose::Pause, now_us)
     }
 
-    /// Builds a switch from rung `from` to the rendition at `to` within the session (stream switch of 3GPP TS 26.234),
-    /// which needs no second SETUP.
+    /// Builds a switch from rung `from` to the rendition at `to` within the session (stream switch of 3GPP TS
+    /// 26.234), which needs no second SETUP.
     pub fn switch(&mut self, from: u8, to: Url, now_us: u64) -> Request {
         let value = messages::switch_value(&self.url, &to);
         let url = self.url.clone();
@@ -158,8 +159,8 @@
         request
     }
 
-    /// Builds a GET_PARAMETER that keeps the session alive and requests the node's load (RFC 2326, 10.8). Returns `None`
-    /// while the number of pending requests is at its limit.
+    /// Builds a GET_PARAMETER that keeps the session alive and requests the node's load (RFC 2326, 10.8).
+    /// Returns `None` while the number of pending requests is at its limit.
     pub fn keep_alive(&mut self, now_us: u64) -> Option<Request> {
         if self.pending.len() >= MAX_PENDING_REQUESTS {
             return None;
@@ -174,9 +175,9 @@
         self.new_request(Method::Teardown, &url, Purpose::Teardown, now_us)
     }
 
-    /// Matches a response to its request, updates the state and returns the result. Responses arrive in order, so the
-    /// node skipped all requests before the matched one. Skipped requests that the viewer waits for remain pending until
-    /// they are overdue; otherwise the viewer would wait forever.
+    /// Matches a response to its request, updates the state and returns the result. Responses arrive in
+    /// order, so the node skipped all requests before the matched one. Skipped requests that the viewer waits
+    /// for remain pending until they are overdue; otherwise the viewer would wait forever.
     pub fn answered(&mut self, response: &Response) -> Answer {
         let cseq = messages::header(response, &headers::CSEQ).and_then(|cseq| cseq.parse::<u32>().ok());
         let Some(matched) = self.pending.iter().position(|(sent, ..)| Some(*sent) == cseq) else {
@@ -223,7 +224,8 @@
         Answer::Done(purpose)
     }
 
-    /// Returns whether a request that the viewer waits for has been pending for longer than `timeout_us` microseconds.
+    /// Returns whether a request that the viewer waits for has been pending for longer than `timeout_us`
+    /// microseconds.
     pub fn overdue(&self, now_us: u64, timeout_us: u64) -> bool {
         self.pending.iter().any(|&(_, purpose, sent_us)| {
             purpose.is_viewer_waiting() && now_us.saturating_sub(sent_us) > timeout_us
--- a/crates/rtsp/src/codec.rs
+++ b/crates/rtsp/src/codec.rs
@@ -1,6 +1,6 @@
-//! A `tokio_util` codec for RTSP requests, responses and interleaved frames. `rtsp-types` parses the messages; this
-//! module finds the end of a message before it is parsed and enforces size limits, so that a peer can't make the
-//! receiver buffer or scan more than the limits allow.
+//! A `tokio_util` codec for RTSP requests, responses and interleaved frames. `rtsp-types` parses the
+//! messages; this module finds the end of a message before it is parsed and enforces size limits, so that a
+//! peer can't make the receiver buffer or scan more than the limits allow.
 
 use bytes::{Buf, BufMut, BytesMut};
 use rtsp_types::{Message, StatusCode};
@@ -65,8 +65,8 @@
 }
 
 impl Fault {
-    /// Returns the status to respond with before the connection is closed, or `None` where the error does not concern
-    /// a request that the peer awaits a response to.
+    /// Returns the status to respond with before the connection is closed, or `None` where the error does not
+    /// concern a request that the peer awaits a response to.
     pub fn status(&self) -> Option<StatusCode> {
         match self {
             Fault::LineTooLong { .. } => Some(StatusCode::RequestURITooLong),
@@ -84,8 +84,8 @@
 #[derive(Debug, Default)]
 pub struct Codec {
     limits: Limits,
-    /// Number of buffered bytes that were already searched for the end of the headers. Each byte is searched once, even
-    /// if the peer sends them one by one.
+    /// Number of buffered bytes that were already searched for the end of the headers. Each byte is searched
+    /// once, even if the peer sends them one by one.
     searched_bytes: usize,
     /// Total length of the message at the start of the buffer, known once all its headers have arrived.
     message_length: Option<usize>,
@@ -100,8 +100,8 @@
         Codec { limits, ..Codec::default() }
     }
 
-    /// Creates a codec that returns frames with their headers, as [`Packet::Raw`]. Consecutive frames stay contiguous
-    /// in memory, so that a relay can forward them together without a copy.
+    /// Creates a codec that returns frames with their headers, as [`Packet::Raw`]. Consecutive frames stay
+    /// contiguous in memory, so that a relay can forward them together without a copy.
     pub fn relaying() -> Codec {
         Codec { raw_frames: true, ..Codec::default() }
     }
@@ -187,7 +187,8 @@
     Err(Fault::Version { found: String::from_utf8_lossy(version).into_owned() })
 }
 
-/// Returns the value of `Content-Length`, or 0 if the header is missing. Rejects repeated headers whose values differ.
+/// Returns the value of `Content-Length`, or 0 if the header is missing. Rejects repeated headers whose
+/// values differ.
 fn parse_content_length(head: &[u8]) -> Result<u64, Fault> {
     let mut length = None;
     let mut at = 0;
--- a/crates/rtsp/src/digest.rs
+++ b/crates/rtsp/src/digest.rs
@@ -1,5 +1,6 @@
-//! Digest access authentication (RFC 2617, section 3) as used by RTSP (RFC 2326, D.1): MD5, with or without `qop=auth`.
-//! Each connection has its own nonce, so that a response captured on one connection can't be replayed on another.
+//! Digest access authentication (RFC 2617, section 3) as used by RTSP (RFC 2326, D.1): MD5, with or without
+//! `qop=auth`. Each connection has its own nonce, so that a response captured on one connection can't be
+//! replayed on another.
 
 use md5::{Digest as _, Md5};
 use rtsp_types::Method;
@@ -17,8 +18,9 @@
     Md5::digest(text.as_bytes()).iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Parses the parameters of an `Authorization` or `WWW-Authenticate` header of the Digest scheme: comma-separated
-/// `name=value` pairs with quoted or unquoted values. Returns `None` for other schemes and for malformed headers.
+/// Parses the parameters of an `Authorization` or `WWW-Authenticate` header of the Digest scheme:
+/// comma-separated `name=value` pairs with quoted or unquoted values. Returns `None` for other schemes and
+/// for malformed headers.
 fn parse_parameters(header: &str) -> Option<Vec<(&str, &str)>> {
     let (scheme, mut rest) = header.trim().split_once(' ')?;
     if !scheme.eq_ignore_ascii_case("digest") {
@@ -44,8 +46,8 @@
         format!("Digest realm=\"{}\", nonce=\"{nonce}\", algorithm=MD5, qop=\"auth\"", self.realm)
     }
 
-    /// Returns whether an `Authorization` header is a valid response to the challenge with this nonce, for a request
-    /// with this method.
+    /// Returns whether an `Authorization` header is a valid response to the challenge with this nonce, for a
+    /// request with this method.
     pub fn admits(&self, header: &str, nonce: &str, method: &Method) -> bool {
         let Some(parameters) = parse_parameters(header) else { return false };
         let get = |name: &str| parameters.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|&(_, v)| v);
@@ -64,8 +66,8 @@
     }
 }
 
-/// Computes the `response` parameter of a client's `Authorization` header (RFC 2617, 3.2.2.1). `qop` holds the values of
-/// qop, nc and cnonce if the client sends them.
+/// Computes the `response` parameter of a client's `Authorization` header (RFC 2617, 3.2.2.1). `qop` holds
+/// the values of qop, nc and cnonce if the client sends them.
 pub fn answer(
     realm: &str,
     user: &str,
--- a/crates/rtsp/src/lib.rs
+++ b/crates/rtsp/src/lib.rs
@@ -1,7 +1,7 @@
-//! The subset of RTSP 1.0 (RFC 2326) that a session front needs, with RTP and RTCP interleaved on the RTSP connection
-//! (section 10.12): a codec, a server state machine towards the viewer, a client state machine towards the media node,
-//! load reports in `text/parameters`, and rewriting that keeps RTP continuous across a change of rendition. Nothing in
-//! this crate performs I/O or reads a clock.
+//! The subset of RTSP 1.0 (RFC 2326) that a session front needs, with RTP and RTCP interleaved on the RTSP
+//! connection (section 10.12): a codec, a server state machine towards the viewer, a client state machine
+//! towards the media node, load reports in `text/parameters`, and rewriting that keeps RTP continuous across
+//! a change of rendition. Nothing in this crate performs I/O or reads a clock.
 
 pub mod client;
 pub mod codec;
--- a/crates/rtsp/src/load.rs
+++ b/crates/rtsp/src/load.rs
@@ -1,5 +1,6 @@
-//! The load report of a media node. It is sent as `text/parameters` in the response to GET_PARAMETER (RFC 2326, 10.8)
-//! and in the `X-Load` header of any other response; peers that don't know the header ignore it (RFC 2326, 1.5).
+//! The load report of a media node. It is sent as `text/parameters` in the response to GET_PARAMETER (RFC
+//! 2326, 10.8) and in the `X-Load` header of any other response; peers that don't know the header ignore it
+//! (RFC 2326, 1.5).
 
 use rtsp_types::HeaderName;
 
@@ -20,8 +21,8 @@
 }
 
 impl Load {
-    /// Parses `name: value` or `name=value` pairs separated by line ends or commas. Unknown names and values that are not
-    /// finite numbers of at least 0 are ignored, as a node may report more than is used here.
+    /// Parses `name: value` or `name=value` pairs separated by line ends or commas. Unknown names and values
+    /// that are not finite numbers of at least 0 are ignored, as a node may report more than is used here.
     pub fn read(text: &str) -> Load {
         let mut load = Load::default();
         for pair in text.split(['\n', ',']) {
--- a/crates/rtsp/src/messages.rs
+++ b/crates/rtsp/src/messages.rs
@@ -33,7 +33,8 @@
     response.header(name).map(|value| value.as_str().trim())
 }
 
-/// Returns the session identifier in the value of a `Session` header, without its parameters such as `timeout`.
+/// Returns the session identifier in the value of a `Session` header, without its parameters such as
+/// `timeout`.
 pub fn session_id(value: &str) -> &str {
     value.split(';').next().unwrap_or_default().trim()
 }
@@ -88,9 +89,9 @@
     }
 }
 
-/// Returns the channels of the first transport in a `Transport` header that is unicast RTP interleaved on the RTSP
-/// connection. The header lists transports in order of preference (RFC 2326, 12.39). `default` is used where the
-/// transport names no channels.
+/// Returns the channels of the first transport in a `Transport` header that is unicast RTP interleaved on the
+/// RTSP connection. The header lists transports in order of preference (RFC 2326, 12.39). `default` is used
+/// where the transport names no channels.
 pub fn interleaved(transport: &str, default: Channels) -> Option<Channels> {
     transport.split(',').find_map(|alternative| {
         let mut parameters = alternative.split(';').map(str::trim);
--- a/crates/rtsp/src/presentation.rs
+++ b/crates/rtsp/src/presentation.rs
@@ -2,7 +2,8 @@
 
 use rtsp_types::Url;
 
-/// Returns the control name of a track. Track numbers start at 0 in the code and at 1 in URLs: track 0 is `track1`.
+/// Returns the control name of a track. Track numbers start at 0 in the code and at 1 in URLs: track 0 is
+/// `track1`.
 fn control_name(track: u8) -> String {
     format!("track{}", track + 1)
 }
@@ -26,8 +27,8 @@
 }
 
 impl Asked {
-    /// Parses a URL. Returns `None` if its path is not a title with an optional track. An element `top` that is not a
-    /// number is forwarded to the node and otherwise ignored.
+    /// Parses a URL. Returns `None` if its path is not a title with an optional track. An element `top` that
+    /// is not a number is forwarded to the node and otherwise ignored.
     pub fn read(url: &Url) -> Option<Asked> {
         let mut parts = url.path().split('/').filter(|part| !part.is_empty());
         let title = parts.next()?.to_string();
@@ -113,8 +114,9 @@
     url.path().rsplit('/').find_map(|part| part.strip_prefix('r')?.parse().ok())
 }
 
-/// Returns the SDP description of a presentation: video and, if there is a second clock rate, audio. Each control URL
-/// carries the query, so that a player's SETUP requests have the same query as its DESCRIBE request.
+/// Returns the SDP description of a presentation: video and, if there is a second clock rate, audio. Each
+/// control URL carries the query, so that a player's SETUP requests have the same query as its DESCRIBE
+/// request.
 pub fn describe(title: &str, query: &str, clock_rates: impl Iterator<Item = u32>) -> Vec<u8> {
     let query = if query.is_empty() { String::new() } else { format!("?{query}") };
     let attribute =
--- a/crates/rtsp/src/rewrite.rs
+++ b/crates/rtsp/src/rewrite.rs
@@ -1,6 +1,6 @@
-//! Rewrites RTP so that the viewer receives one continuous stream: one SSRC, consecutive sequence numbers, and timestamps
-//! that advance with the elapsed time (RFC 3550, 5.1). A change of rendition or node may bring another SSRC, another
-//! initial sequence number and another timestamp offset.
+//! Rewrites RTP so that the viewer receives one continuous stream: one SSRC, consecutive sequence numbers,
+//! and timestamps that advance with the elapsed time (RFC 3550, 5.1). A change of rendition or node may bring
+//! another SSRC, another initial sequence number and another timestamp offset.
 //!
 //! [`Meter`] derives from the same headers how much of the node's stream arrived.
 
@@ -31,7 +31,8 @@
     seq_offset: u16,
     /// Offset added to the timestamps of the current source, modulo 2^32.
     timestamp_offset: u32,
-    /// Highest sequence number sent to the viewer, with its timestamp and the time of sending in microseconds.
+    /// Highest sequence number sent to the viewer, with its timestamp and the time of sending in
+    /// microseconds.
     last: Option<(u16, u32, u64)>,
     /// Packets forwarded from all sources, for sender reports.
     packets: u32,
@@ -64,8 +65,8 @@
         (seq.wrapping_add(self.seq_offset), timestamp.wrapping_add(self.timestamp_offset))
     }
 
-    /// Rewrites an RTP packet in place. Returns false if it is not RTP and must be dropped. `now_us` is the current time
-    /// in microseconds.
+    /// Rewrites an RTP packet in place. Returns false if it is not RTP and must be dropped. `now_us` is the
+    /// current time in microseconds.
     pub fn rtp(&mut self, packet: &mut [u8], now_us: u64) -> bool {
         let Some((seq, timestamp, source)) = parse_header(packet) else { return false };
         if self.source != Some(source) {
@@ -108,9 +109,10 @@
     }
 }
 
-/// Measures the fraction of a node's stream that arrives, from RTP headers alone: the ratio of received to expected
-/// packets by sequence number (RFC 3550, A.3), multiplied by the ratio of elapsed media time to elapsed time. Comparing
-/// the byte rate with the rung's rate instead would report a title that needs less than its rung as a shortage.
+/// Measures the fraction of a node's stream that arrives, from RTP headers alone: the ratio of received to
+/// expected packets by sequence number (RFC 3550, A.3), multiplied by the ratio of elapsed media time to
+/// elapsed time. Comparing the byte rate with the rung's rate instead would report a title that needs less
+/// than its rung as a shortage.
 #[derive(Debug)]
 pub struct Meter {
     /// RTP ticks per second.
@@ -181,7 +183,8 @@
         if ticks < 0x8000_0000 {
             self.media_ticks = self.media_ticks.saturating_add(ticks);
             self.highest_timestamp = timestamp;
-            // Packets of one frame share a timestamp. The ticks are divided among received and missing packets.
+            // Packets of one frame share a timestamp. The ticks are divided among received and missing
+            // packets.
             if seq_advance > 0 && seq_advance < 0x8000 {
                 let interval = ticks / u32::from(seq_advance);
                 self.ticks_per_packet = if self.ticks_per_packet == 0 {
@@ -193,8 +196,8 @@
         }
     }
 
-    /// Ends the window and starts the next. Returns `None`, and extends the window, while too few packets were due for a
-    /// measurement.
+    /// Ends the window and starts the next. Returns `None`, and extends the window, while too few packets
+    /// were due for a measurement.
     pub fn take(&mut self, now_us: u64) -> Option<Flow> {
         let elapsed_us = now_us.saturating_sub(self.window_start_us);
         let due = elapsed_us * u64::from(self.clock_rate) / 1_000_000;
--- a/crates/rtsp/src/rtcp.rs
+++ b/crates/rtsp/src/rtcp.rs
@@ -1,5 +1,5 @@
-//! Interleaved RTCP (RFC 3550, section 6): reads receiver reports of viewers, rewrites sender reports of nodes to match
-//! the stream that the viewer receives, and detects and builds BYE packets.
+//! Interleaved RTCP (RFC 3550, section 6): reads receiver reports of viewers, rewrites sender reports of
+//! nodes to match the stream that the viewer receives, and detects and builds BYE packets.
 
 use bytes::BytesMut;
 use rtcp_types::{Bye, Compound, Packet, ReceiverReport, SenderReport};
@@ -63,8 +63,8 @@
     pub octets: u32,
 }
 
-/// Rewrites a compound packet of the current source in place. Returns false if it is from another source or can't be
-/// parsed, and must be dropped.
+/// Rewrites a compound packet of the current source in place. Returns false if it is from another source or
+/// can't be parsed, and must be dropped.
 pub fn rewrite(packet: &mut [u8], mapping: Sent) -> bool {
     let mut at = 0;
     let mut from_source = false;
--- a/crates/rtsp/src/server.rs
+++ b/crates/rtsp/src/server.rs
@@ -1,6 +1,7 @@
-//! The RTSP server state machine (RFC 2326, A.2) of one viewer connection, without I/O: it takes a request and returns a
-//! [`Step`]. Requests are answered in the order in which they arrived (RFC 2326, 9.1), so the caller passes the next
-//! request only after the previous one was answered. [`allowed`] lists the methods that are valid in each state.
+//! The RTSP server state machine (RFC 2326, A.2) of one viewer connection, without I/O: it takes a request
+//! and returns a [`Step`]. Requests are answered in the order in which they arrived (RFC 2326, 9.1), so the
+//! caller passes the next request only after the previous one was answered. [`allowed`] lists the methods
+//! that are valid in each state.
 
 use std::sync::Arc;
 
@@ -19,7 +20,8 @@
     Reply(Response),
     /// Request a session, then call [`Server::granted`] or [`Server::turned_away`].
     Ask(Asked),
-    /// Set up another track of the session at its node, then call [`Server::track_granted`] or [`Server::failed`].
+    /// Set up another track of the session at its node, then call [`Server::track_granted`] or
+    /// [`Server::failed`].
     Track { track: u8 },
     /// Send PLAY to the node, then call [`Server::plays`] or [`Server::failed`].
     Play { range: Option<String> },
@@ -86,8 +88,8 @@
 }
 
 impl Server {
-    /// Creates the state of a new connection. `timeout` is the session timeout in seconds; `clock_rates` holds the RTP
-    /// clock rate of each track, in ticks per second.
+    /// Creates the state of a new connection. `timeout` is the session timeout in seconds; `clock_rates`
+    /// holds the RTP clock rate of each track, in ticks per second.
     pub fn new(timeout: u32, clock_rates: &[u32]) -> Server {
         Server {
             state: State::Init,
@@ -139,7 +141,8 @@
         response
     }
 
-    /// Handles the next request. `titles` returns the number of tracks of a title, or `None` for an unknown title.
+    /// Handles the next request. `titles` returns the number of tracks of a title, or `None` for an unknown
+    /// title.
     pub fn request(&mut self, request: &Request, titles: impl Fn(&str) -> Option<u8>) -> Step {
         let cseq = messages::cseq(request);
         let respond = |status| Step::Reply(self.reply(status, cseq.as_deref()));
@@ -177,7 +180,8 @@
                 reply.insert_header(headers::PUBLIC, PUBLIC);
                 Step::Reply(reply)
             }
-            // Without parameters these test whether the session is alive (RFC 2326, 10.8). No parameters are supported.
+            // Without parameters these test whether the session is alive (RFC 2326, 10.8). No parameters are
+            // supported.
             Method::GetParameter | Method::SetParameter if request.body().is_empty() => {
                 respond(StatusCode::Ok)
             }
@@ -264,8 +268,8 @@
         if self.state == State::Ready { Step::Track { track } } else { Step::Ask(presentation) }
     }
 
-    /// Returns the response to the SETUP that requested the session, which is now set up at a node. `session` is the
-    /// identifier sent to the viewer.
+    /// Returns the response to the SETUP that requested the session, which is now set up at a node. `session`
+    /// is the identifier sent to the viewer.
     pub fn granted(&mut self, session: String, ssrc: u32) -> Response {
         (self.state, self.session) = (State::Ready, Some(session));
         self.track_granted(ssrc)
@@ -285,7 +289,8 @@
         self.pending_setup.0
     }
 
-    /// Returns the response to a SETUP whose session was rejected or failed. A busy reply has `retry_after` in seconds.
+    /// Returns the response to a SETUP whose session was rejected or failed. A busy reply has `retry_after`
+    /// in seconds.
     pub fn turned_away(&mut self, status: StatusCode, retry_after: Option<f64>) -> Response {
         let cseq = self.cseq.take();
         self.ended();
@@ -296,8 +301,8 @@
         reply
     }
 
-    /// Returns the response to PLAY after the node accepted it. `range` and `rtp_info` are header values from the node's
-    /// response.
+    /// Returns the response to PLAY after the node accepted it. `range` and `rtp_info` are header values from
+    /// the node's response.
     pub fn plays(&mut self, range: Option<&str>, rtp_info: Option<&str>) -> Response {
         self.state = State::Playing;
         let cseq = self.cseq.take();
--- a/crates/rtsp/tests/both_sides.rs
+++ b/crates/rtsp/tests/both_sides.rs
@@ -1,6 +1,6 @@
-//! Drives the client and server state machines against an in-memory node with a seeded scheduler. Responses are delayed,
-//! lost, duplicated, rejected or carry a wrong session or CSeq, and connections break. Guards against a state that a
-//! viewer can't leave.
+//! Drives the client and server state machines against an in-memory node with a seeded scheduler. Responses
+//! are delayed, lost, duplicated, rejected or carry a wrong session or CSeq, and connections break. Guards
+//! against a state that a viewer can't leave.
 
 use ashglade_rtsp::client::{Answer, Client, Purpose, State};
 use ashglade_rtsp::messages::{self, Channels};
--- a/crates/rtsp/tests/machines.rs
+++ b/crates/rtsp/tests/machines.rs
@@ -1,5 +1,5 @@
-//! Tests the server state machine with each method in each state, authentication, and the rewriting and measuring of RTP
-//! and RTCP across changes of rendition.
+//! Tests the server state machine with each method in each state, authentication, and the rewriting and
+//! measuring of RTP and RTCP across changes of rendition.
 
 use ashglade_rtsp::messages::{self, Channels};
 use ashglade_rtsp::rewrite::{Meter, Rewriter};
