--- a/crates/director/src/attempt.rs
+++ b/crates/director/src/attempt.rs
@@ -10,7 +10,7 @@
 use ashglade::interface::AttemptOutcome;
 use ashglade::time::Instant;
 use ashglade_engine::{Input, LoadReport};
-use ashglade_rtsp::client::{Answer, Client};
+use ashglade_rtsp::client::{Client, ResponseOutcome};
 use ashglade_rtsp::{Packet, Response, messages};
 use futures_util::{SinkExt, StreamExt};
 use rtsp_types::{StatusCode, Url};
@@ -164,21 +164,21 @@
             .map_err(lost)?;
         let Packet::Response(response) = packet else { continue };
         let load = load_report(&response);
-        match client.answered(&response) {
-            Answer::Done(_) => {
+        match client.handle_response(&response) {
+            ResponseOutcome::Completed(_) => {
                 let node_session = NodeSession::new(&context, (node, address), pending.take()?, client).await;
                 return Ok((Box::new(node_session), load));
             }
-            Answer::Refused(_, StatusCode::NotEnoughBandwidth | StatusCode::ServiceUnavailable) => {
+            ResponseOutcome::Rejected(_, StatusCode::NotEnoughBandwidth | StatusCode::ServiceUnavailable) => {
                 context.pool.put(address, pending.take()?);
                 return Err((AttemptError::Failed(AttemptOutcome::Full), load));
             }
-            Answer::Refused(_, StatusCode::NotFound) => {
+            ResponseOutcome::Rejected(_, StatusCode::NotFound) => {
                 context.pool.put(address, pending.take()?);
                 return Err((AttemptError::TitleMissing, load));
             }
-            Answer::Refused(..) => return Err((AttemptError::Failed(AttemptOutcome::Fault), load)),
-            Answer::Stray => {}
+            ResponseOutcome::Rejected(..) => return Err((AttemptError::Failed(AttemptOutcome::Fault), load)),
+            ResponseOutcome::Unmatched => {}
         }
     }
 }
@@ -210,10 +210,10 @@
 
 /// Returns the load that the node reported in a response, if it did.
 pub fn load_report(response: &Response) -> Option<LoadReport> {
-    messages::load_of(response).map(to_load_report)
+    messages::load_report(response).map(to_load_report)
 }
 
 /// Converts a load as reported by a node to the engine's type.
-pub fn to_load_report(load: ashglade_rtsp::load::Load) -> LoadReport {
+pub fn to_load_report(load: ashglade_rtsp::load::NodeLoad) -> LoadReport {
     LoadReport { link: load.link, uplink: load.uplink, streams: load.streams }
 }
--- a/crates/director/src/context.rs
+++ b/crates/director/src/context.rs
@@ -7,7 +7,7 @@
 use ashglade::ids::{GroupId, Rung, SessionId};
 use ashglade_clock::Clock;
 use ashglade_engine::ViewerRequest;
-use ashglade_rtsp::digest::Users;
+use ashglade_rtsp::digest::Credentials;
 use ashglade_settings::{Settings, Title};
 use bytes::Bytes;
 use http_body_util::Empty;
@@ -31,7 +31,7 @@
     /// True once the director drains.
     pub draining: watch::Sender<bool>,
     /// Users of RTSP digest authentication, if it is required.
-    pub users: Option<Arc<Users>>,
+    pub users: Option<Arc<Credentials>>,
     /// Starts above the identifiers of an earlier run, see [`DirectorContext::new_session_id`].
     pub next_session_id: AtomicU64,
     /// Random generator of [`DirectorContext::random`].
--- a/crates/director/src/hls/fetch.rs
+++ b/crates/director/src/hls/fetch.rs
@@ -9,7 +9,7 @@
 use ashglade::interface::AttemptOutcome;
 use ashglade_engine::LoadReport;
 use ashglade_hls::Variant;
-use ashglade_hls::playlist::{self, MOST_BYTES, Place};
+use ashglade_hls::playlist::{self, MAX_PLAYLIST_BYTES, PlaylistLocation};
 use ashglade_rtsp::load;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -35,7 +35,7 @@
 
 /// Returns the load that the node reported in a response, if it did.
 pub fn load_report<B>(response: &Response<B>) -> Option<LoadReport> {
-    Some(to_load_report(load::Load::read(response.headers().get("x-load")?.to_str().ok()?)))
+    Some(to_load_report(load::NodeLoad::parse(response.headers().get("x-load")?.to_str().ok()?)))
 }
 
 /// Returns a GET request for the URL, or `None` if the URL has no host or isn't valid in a request.
@@ -84,13 +84,15 @@
         StatusCode::NOT_FOUND => return Err((AttemptError::TitleMissing, load)),
         _ => return Err((AttemptError::Failed(AttemptOutcome::Fault), load)),
     }
-    let body = Limited::new(response.into_body(), MOST_BYTES).collect().await;
+    let body = Limited::new(response.into_body(), MAX_PLAYLIST_BYTES).collect().await;
     let multivariant_playlist =
         body.map_err(|_| (AttemptError::Failed(AttemptOutcome::Lost), load))?.to_bytes();
     // A playlist that can't be passed to a player counts as a fault of the node.
     let folder = title_folder(&url);
-    let place = Place { url: &url, folder: &folder };
-    match playlist::master(&multivariant_playlist, &place, f64::INFINITY, &|_, path| path.to_string()) {
+    let place = PlaylistLocation { url: &url, folder: &folder };
+    match playlist::rewrite_multivariant(&multivariant_playlist, &place, f64::INFINITY, &|_, path| {
+        path.to_string()
+    }) {
         Ok(playlist) => {
             Ok((AcceptedSession { node, multivariant_playlist, variants: playlist.variants }, load))
         }
@@ -153,7 +155,7 @@
     let response = get(context, url, None).await?;
     let (status, load) = (response.status(), load_report(&response));
     let timeout = context.settings.front.answer_timeout;
-    let body = Limited::new(response.into_body(), MOST_BYTES + 1).collect();
+    let body = Limited::new(response.into_body(), MAX_PLAYLIST_BYTES + 1).collect();
     match tokio::time::timeout(timeout, body).await {
         Ok(Ok(body)) => Ok((status, load, body.to_bytes())),
         Ok(Err(_)) => Err(FetchError::Disconnected),
--- a/crates/director/src/hls/mod.rs
+++ b/crates/director/src/hls/mod.rs
@@ -13,7 +13,7 @@
 
 use ashglade::ids::{SessionId, TitleId};
 use ashglade_engine::Input;
-use ashglade_hls::{Ask, Forged, Key, Keys, Token};
+use ashglade_hls::{KeyRing, RequestKind, SigningKey, Token, TokenError};
 use ashglade_settings::Hls;
 use bytes::Bytes;
 use http_body_util::combinators::BoxBody;
@@ -37,7 +37,7 @@
 /// A player's request, to be answered by the session's task.
 pub struct PlayerRequest {
     /// The kind of resource requested.
-    pub resource: Ask,
+    pub resource: RequestKind,
     /// Path within the title's folder at the node, including the query.
     pub path: String,
     /// `Range` header of a request for a segment.
@@ -57,7 +57,7 @@
 pub struct HlsFront {
     pub context: Arc<DirectorContext>,
     /// Keys that sign and verify tokens and paths.
-    pub keys: Keys,
+    pub keys: KeyRing,
     /// The time after which a token expires.
     pub token_lifetime: Duration,
     /// Request queues of the sessions' tasks, by the session in the token.
@@ -66,8 +66,9 @@
 
 /// Accepts players' connections for as long as the director runs.
 pub async fn run(context: Arc<DirectorContext>, listener: TcpListener, settings: Hls) {
-    let keys = settings.keys.iter().map(|(id, secret)| Key { id: *id, secret: secret.clone().into_bytes() });
-    let Some(keys) = Keys::new(keys.collect()) else { return };
+    let keys =
+        settings.keys.iter().map(|(id, secret)| SigningKey { id: *id, secret: secret.clone().into_bytes() });
+    let Some(keys) = KeyRing::new(keys.collect()) else { return };
     let front =
         Arc::new(HlsFront { context, keys, token_lifetime: settings.token_life, sessions: Mutex::default() });
     // Beyond the connection limit, players wait in the kernel's accept queue.
@@ -184,7 +185,7 @@
                     Err(error) => return text_reply(StatusCode::FORBIDDEN, &error.to_string()),
                 };
             let sessions = self.sessions.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-            let Some(session) = sessions.get(&token.sess) else {
+            let Some(session) = sessions.get(&token.session) else {
                 return text_reply(
                     StatusCode::GONE,
                     "the session is over, or was another director's; begin anew",
@@ -210,17 +211,17 @@
         rest: &str,
         request: &Request<Incoming>,
         reply: oneshot::Sender<Reply>,
-    ) -> Result<(Token, PlayerRequest), Forged> {
+    ) -> Result<(Token, PlayerRequest), TokenError> {
         let mut parts = rest.splitn(3, '/');
         let (Some(token), Some(signed_resource), Some(path)) = (parts.next(), parts.next(), parts.next())
         else {
-            return Err(Forged::Malformed);
+            return Err(TokenError::Malformed);
         };
         let token = self.keys.verify(token, title, unix_time())?;
         let path = request.uri().query().map_or_else(|| path.to_string(), |query| format!("{path}?{query}"));
-        let (resource_text, signature) = signed_resource.split_once('-').ok_or(Forged::Path)?;
-        self.keys.verify_path(token.sess, &format!("{resource_text}/{path}"), signature)?;
-        let resource = Ask::read(resource_text).ok_or(Forged::Path)?;
+        let (resource_text, signature) = signed_resource.split_once('-').ok_or(TokenError::Path)?;
+        self.keys.verify_path(token.session, &format!("{resource_text}/{path}"), signature)?;
+        let resource = RequestKind::parse(resource_text).ok_or(TokenError::Path)?;
         let range = request.headers().get(RANGE).cloned();
         Ok((token, PlayerRequest { resource, path, range, reply }))
     }
@@ -232,7 +233,7 @@
         title: &str,
         token: &str,
         session_id: SessionId,
-        resource: Ask,
+        resource: RequestKind,
         path: &str,
     ) -> String {
         let signature = self.keys.sign_path(session_id, &format!("{resource}/{path}"));
@@ -271,7 +272,7 @@
         let (commands, command_receiver) = mpsc::channel(SESSION_QUEUE_CAPACITY);
         let (requests, request_receiver) = mpsc::channel(MAX_QUEUED_REQUESTS);
         let token = Token {
-            sess: session_id,
+            session: session_id,
             title: viewer_request.title,
             group,
             expires: unix_time() + self.token_lifetime.as_secs(),
--- a/crates/director/src/hls/session.rs
+++ b/crates/director/src/hls/session.rs
@@ -10,8 +10,8 @@
 use ashglade::interface::{AttemptOutcome, RetrySafety};
 use ashglade::time::Instant;
 use ashglade_engine::{Input, SessionResponse, ViewerRequest};
-use ashglade_hls::playlist::{self, Place};
-use ashglade_hls::{Ask, Session, Step, Token};
+use ashglade_hls::playlist::{self, PlaylistLocation};
+use ashglade_hls::{RequestAction, RequestKind, Session, Token};
 use http_body_util::BodyExt;
 use hyper::header::{ACCEPT_RANGES, CONTENT_LENGTH, CONTENT_RANGE, CONTENT_TYPE};
 use hyper::{Response, StatusCode};
@@ -70,7 +70,7 @@
     /// Requests that wait for the engine's response.
     waiting_requests: Vec<PlayerRequest>,
     /// When each media playlist was fetched, whether it is complete, and its text.
-    playlist_cache: BTreeMap<Ask, (Instant, bool, String)>,
+    playlist_cache: BTreeMap<RequestKind, (Instant, bool, String)>,
     /// Target duration of the playlist fetched last.
     target_duration_seconds: f64,
     relay_results: mpsc::Sender<RelayResult>,
@@ -94,8 +94,12 @@
     let signed_token = front.keys.sign(&params.token);
     let (relay_results, mut relayed) = mpsc::channel(MAX_IN_FLIGHT);
     let mut requests = params.requests;
-    let first_request =
-        PlayerRequest { resource: Ask::Master, path: String::new(), range: None, reply: params.reply };
+    let first_request = PlayerRequest {
+        resource: RequestKind::MultivariantPlaylist,
+        path: String::new(),
+        range: None,
+        reply: params.reply,
+    };
     let mut session = HlsSession {
         front,
         title: params.title,
@@ -103,7 +107,7 @@
         token: params.token,
         signed_token,
         viewer_request: params.viewer_request,
-        session_id: params.token.sess,
+        session_id: params.token.session,
         commands: params.commands,
         state: Session::new(now),
         attempt: None,
@@ -113,7 +117,7 @@
         target_duration_seconds: 0.0,
         relay_results,
     };
-    while !session.state.is_over() {
+    while !session.state.is_ended() {
         let event = session.next_event(&mut requests, &mut relayed).await;
         session.handle_event(event).await;
     }
@@ -134,7 +138,7 @@
     ) -> Event {
         let now = self.front.context.clock.now();
         let idle_timeout =
-            self.state.quiet_at().map(|at| Duration::from_secs_f64(((at - now).as_ms() / 1e3).max(0.0)));
+            self.state.idle_deadline().map(|at| Duration::from_secs_f64(((at - now).as_ms() / 1e3).max(0.0)));
         let idle_timeout = async {
             match idle_timeout {
                 Some(after) => tokio::time::sleep(after).await,
@@ -170,7 +174,7 @@
         match event {
             Event::Command(Some(command)) => self.handle_command(command).await,
             // The engine's task or the front has ended: the director stops.
-            Event::Command(None) | Event::PlayerRequest(None) => self.state.over(),
+            Event::Command(None) | Event::PlayerRequest(None) => self.state.end(),
             Event::SetupEnded(result) => {
                 if let Some(attempt) = self.attempt.take() {
                     self.report_setup_result(attempt.setup, result).await;
@@ -181,7 +185,7 @@
                 self.waiting_requests.remove(0);
                 // A session that is set up outlives the player's connection.
                 if self.waiting_requests.is_empty() && self.accepted.is_none() {
-                    self.state.over();
+                    self.state.end();
                 }
             }
             Event::PlayerRequest(Some(request)) => self.handle_request(request).await,
@@ -191,7 +195,7 @@
                     title = self.title,
                     "session ended: no request from the player"
                 );
-                self.state.over();
+                self.state.end();
             }
         }
     }
@@ -255,7 +259,7 @@
             }
             SessionCommand::ChangeRung(rung) => {
                 let now = context.clock.now();
-                self.state.rung(self.rung_rate(rung), now);
+                self.state.set_rung_rate(self.rung_rate(rung), now);
                 self.playlist_cache.clear();
             }
             // HTTP has no TEARDOWN: the node ends its session by its own idle timeout.
@@ -268,18 +272,18 @@
         for request in self.waiting_requests.drain(..) {
             let _ = request.reply.send(reply());
         }
-        self.state.over();
+        self.state.end();
     }
 
     /// Starts serving the session at a rung, beginning with the waiting requests.
     async fn start_playing(&mut self, rung: Rung) {
         let now = self.front.context.clock.now();
         info!(sess = self.session_id.0, title = self.title, rung = rung.0, "HLS session playing");
-        self.state.plays(self.rung_rate(rung), now);
-        let Some(accepted) = &mut self.accepted else { return self.state.over() };
+        self.state.started(self.rung_rate(rung), now);
+        let Some(accepted) = &mut self.accepted else { return self.state.end() };
         // The new node's variants differ, so the player's URIs would refer to other variants: it has to start
         // over.
-        if !self.state.has(std::mem::take(&mut accepted.variants)) {
+        if !self.state.set_variants(std::mem::take(&mut accepted.variants)) {
             return self.reject(|| text_reply(StatusCode::GONE, "the title has changed; begin anew"));
         }
         for request in std::mem::take(&mut self.waiting_requests) {
@@ -314,26 +318,28 @@
     /// Answers a request, or queues it until the engine has responded.
     async fn handle_request(&mut self, request: PlayerRequest) {
         let now = self.front.context.clock.now();
-        match self.state.asked(request.resource, now) {
-            Step::Gone(_) => drop(request.reply.send(text_reply(StatusCode::GONE, "the session is over"))),
-            Step::Withdrawn => {
+        match self.state.handle_request(request.resource, now) {
+            RequestAction::Gone(_) => {
+                drop(request.reply.send(text_reply(StatusCode::GONE, "the session is over")))
+            }
+            RequestAction::Withdrawn => {
                 let reply =
                     text_reply(StatusCode::NOT_FOUND, "this variant was withdrawn; load its playlist again");
                 let _ = request.reply.send(reply);
             }
-            Step::Wait if self.waiting_requests.len() >= MAX_IN_FLIGHT => {
+            RequestAction::Wait if self.waiting_requests.len() >= MAX_IN_FLIGHT => {
                 let _ = request.reply.send(busy_reply("too many requests wait", Some(1.0)));
             }
-            Step::Wait => {
+            RequestAction::Wait => {
                 self.waiting_requests.push(request);
-                if self.state.seeks() {
+                if self.state.start_failover() {
                     self.request_new_node().await;
                 }
             }
-            Step::Fetch(variant) => match request.resource {
-                Ask::Master => self.send_multivariant_playlist(request),
-                Ask::Media(_) => self.send_media_playlist(request, variant).await,
-                Ask::Part(_) => self.relay_segment(request, variant),
+            RequestAction::Fetch(variant) => match request.resource {
+                RequestKind::MultivariantPlaylist => self.send_multivariant_playlist(request),
+                RequestKind::MediaPlaylist(_) => self.send_media_playlist(request, variant).await,
+                RequestKind::Resource(_) => self.relay_segment(request, variant),
             },
         }
     }
@@ -356,12 +362,16 @@
         let Some(accepted) = &self.accepted else { return };
         let Some(node_url) = self.multivariant_playlist_url(accepted.node.1, Rung(0)) else { return };
         let folder = fetch::title_folder(&node_url);
-        let place = Place { url: &node_url, folder: &folder };
-        let sign = |resource: Ask, path: &str| {
-            self.front.signed_uri(&self.title, &self.signed_token, self.token.sess, resource, path)
+        let place = PlaylistLocation { url: &node_url, folder: &folder };
+        let sign = |resource: RequestKind, path: &str| {
+            self.front.signed_uri(&self.title, &self.signed_token, self.token.session, resource, path)
         };
-        let reply = match playlist::master(&accepted.multivariant_playlist, &place, self.state.most(), &sign)
-        {
+        let reply = match playlist::rewrite_multivariant(
+            &accepted.multivariant_playlist,
+            &place,
+            self.state.max_rate(),
+            &sign,
+        ) {
             Ok(master) => super::playlist_reply(master.text),
             Err(_) => text_reply(StatusCode::BAD_GATEWAY, "the node's playlist can't be used"),
         };
@@ -372,7 +382,7 @@
     async fn send_media_playlist(&mut self, request: PlayerRequest, variant: Option<usize>) {
         let context = self.front.context.clone();
         let now = context.clock.now();
-        let resource = if variant.is_some() { Ask::Media(variant) } else { request.resource };
+        let resource = if variant.is_some() { RequestKind::MediaPlaylist(variant) } else { request.resource };
         // Playlists shared by the variants have no number and differ by path only, so they aren't cached.
         let cacheable = variant.is_some();
         if let Some((fetched_at, ended, text)) = self.playlist_cache.get(&resource).filter(|_| cacheable)
@@ -383,7 +393,7 @@
             let _ = request.reply.send(super::playlist_reply(text.clone()));
             return;
         }
-        let path = variant.and_then(|v| self.state.path(v)).unwrap_or(&request.path).to_string();
+        let path = variant.and_then(|v| self.state.variant_path(v)).unwrap_or(&request.path).to_string();
         let Some(node_url) = self.node_url(&path) else {
             let _ = request.reply.send(text_reply(StatusCode::BAD_GATEWAY, "the node's URL can't be used"));
             return;
@@ -405,14 +415,20 @@
             return;
         }
         let folder = fetch::title_folder(&node_url);
-        let place = Place { url: &node_url, folder: &folder };
+        let place = PlaylistLocation { url: &node_url, folder: &folder };
         let sign = |path: &str| {
-            self.front.signed_uri(&self.title, &self.signed_token, self.token.sess, Ask::Part(variant), path)
+            self.front.signed_uri(
+                &self.title,
+                &self.signed_token,
+                self.token.session,
+                RequestKind::Resource(variant),
+                path,
+            )
         };
-        match playlist::media(&bytes, &place, &sign) {
+        match playlist::rewrite_media(&bytes, &place, &sign) {
             Ok(media) => {
-                self.state.target(media.target);
-                self.target_duration_seconds = media.target;
+                self.state.set_target_duration(media.target_duration);
+                self.target_duration_seconds = media.target_duration;
                 if cacheable
                     && (self.playlist_cache.len() < MAX_CACHED_PLAYLISTS
                         || self.playlist_cache.contains_key(&resource))
@@ -433,12 +449,13 @@
     /// Relays a segment, or any other resource that is passed on unchanged.
     fn relay_segment(&mut self, request: PlayerRequest, variant: Option<usize>) {
         let context = self.front.context.clone();
-        let Some(node_url) = self.node_url(&request.path).filter(|_| self.state.open() < MAX_IN_FLIGHT)
+        let Some(node_url) =
+            self.node_url(&request.path).filter(|_| self.state.active_responses() < MAX_IN_FLIGHT)
         else {
             let _ = request.reply.send(busy_reply("too many segments at once", Some(1.0)));
             return;
         };
-        self.state.begins();
+        self.state.response_started();
         let relay_results = self.relay_results.clone();
         tokio::spawn(async move {
             let requested = std::time::Instant::now();
@@ -473,11 +490,11 @@
     /// Reports the delivery of a relayed segment to the engine, or the loss of the node.
     async fn handle_relay_result(&mut self, relayed: RelayResult) {
         let context = self.front.context.clone();
-        self.state.done(context.clock.now());
+        self.state.response_finished(context.clock.now());
         if relayed.node_failed {
             return self.node_lost(FetchError::Disconnected).await;
         }
-        let variant_rate = relayed.variant.and_then(|v| self.state.rate(v));
+        let variant_rate = relayed.variant.and_then(|v| self.state.variant_rate(v));
         if let Some(rate) = variant_rate.filter(|_| relayed.bytes > 0) {
             // Bytes received per time spent waiting for the node, relative to the variant's rate.
             let received_rate = relayed.bytes as f64 / 1e3 / relayed.node_wait.as_secs_f64().max(1e-3);
@@ -489,7 +506,7 @@
     /// Reports the session as lost with its node. If its service group allows another SETUP, the session is
     /// requested again at the player's next request; otherwise it ends.
     async fn node_lost(&mut self, error: FetchError) {
-        if !self.state.lost() {
+        if !self.state.node_lost() {
             return;
         }
         let context = self.front.context.clone();
@@ -507,7 +524,7 @@
         let retry_safety =
             context.settings.headend.groups.get(self.viewer_request.group.0).map(|group| group.retry_safety);
         if retry_safety != Some(RetrySafety::Safe) {
-            self.state.over();
+            self.state.end();
         }
     }
 
--- a/crates/director/src/node_session.rs
+++ b/crates/director/src/node_session.rs
@@ -7,8 +7,8 @@
 use ashglade::ids::{NodeId, SessionId};
 use ashglade::time::Span;
 use ashglade_ledger::HeldSession;
-use ashglade_rtsp::client::{Answer, Client, Purpose};
-use ashglade_rtsp::{Fault, Packet, Request};
+use ashglade_rtsp::client::{Client, Purpose, ResponseOutcome};
+use ashglade_rtsp::{CodecError, Packet, Request};
 use futures_util::{SinkExt, StreamExt};
 use rtsp_types::Url;
 
@@ -42,46 +42,46 @@
             node,
             address,
             url: client.url().to_string(),
-            session: client.session().unwrap_or_default().to_string(),
-            timeout: Span::from_secs(client.timeout().into()),
+            session: client.session_id().unwrap_or_default().to_string(),
+            timeout: Span::from_secs(client.session_timeout_seconds().into()),
         };
         context.engine.send(EngineMessage::UpdateLedger(LedgerUpdate::SessionHeld(ledger_key, held))).await;
         NodeSession { node, address, client, connection, ledger_key }
     }
 
     /// Sends a request within the write timeout.
-    async fn send(&mut self, context: &DirectorContext, request: Request) -> Result<(), Fault> {
+    async fn send(&mut self, context: &DirectorContext, request: Request) -> Result<(), CodecError> {
         let sending = self.connection.send(Packet::Request(request));
-        let timed_out = |_| Fault::Io(std::io::ErrorKind::TimedOut.into());
+        let timed_out = |_| CodecError::Io(std::io::ErrorKind::TimedOut.into());
         tokio::time::timeout(context.settings.front.write_timeout, sending).await.map_err(timed_out)?
     }
 
     /// Sets up a further track.
-    pub async fn setup(&mut self, context: &DirectorContext, track: u8) -> Result<(), Fault> {
+    pub async fn setup(&mut self, context: &DirectorContext, track: u8) -> Result<(), CodecError> {
         let request = self.client.setup(track, context.clock.elapsed_micros());
         self.send(context, request).await
     }
 
     /// Sends PLAY, with the viewer's `Range` header if it sent one.
-    pub async fn play(&mut self, context: &DirectorContext, range: Option<String>) -> Result<(), Fault> {
+    pub async fn play(&mut self, context: &DirectorContext, range: Option<String>) -> Result<(), CodecError> {
         let request = self.client.play(range, context.clock.elapsed_micros());
         self.send(context, request).await
     }
 
     /// Sends PAUSE.
-    pub async fn pause(&mut self, context: &DirectorContext) -> Result<(), Fault> {
+    pub async fn pause(&mut self, context: &DirectorContext) -> Result<(), CodecError> {
         let request = self.client.pause(context.clock.elapsed_micros());
         self.send(context, request).await
     }
 
     /// Asks the node to switch from the rung `from` to the rendition at `to`.
-    pub async fn switch(&mut self, context: &DirectorContext, from: u8, to: Url) -> Result<(), Fault> {
+    pub async fn switch(&mut self, context: &DirectorContext, from: u8, to: Url) -> Result<(), CodecError> {
         let request = self.client.switch(from, to, context.clock.elapsed_micros());
         self.send(context, request).await
     }
 
     /// Sends a keep-alive, unless too many requests are unanswered.
-    pub async fn keep_alive(&mut self, context: &DirectorContext) -> Result<(), Fault> {
+    pub async fn keep_alive(&mut self, context: &DirectorContext) -> Result<(), CodecError> {
         match self.client.keep_alive(context.clock.elapsed_micros()) {
             Some(request) => self.send(context, request).await,
             None => Ok(()),
@@ -89,12 +89,12 @@
     }
 
     /// Waits for the next packet from the node.
-    pub async fn next(&mut self) -> Option<Result<Packet, Fault>> {
+    pub async fn next(&mut self) -> Option<Result<Packet, CodecError>> {
         self.connection.next().await
     }
 
     /// Returns the next packet if it has already been received.
-    pub fn try_next(&mut self) -> Option<Option<Result<Packet, Fault>>> {
+    pub fn try_next(&mut self) -> Option<Option<Result<Packet, CodecError>>> {
         futures_util::FutureExt::now_or_never(self.connection.next())
     }
 
@@ -102,7 +102,7 @@
     /// timeout.
     pub fn response_overdue(&self, context: &DirectorContext) -> bool {
         let timeout = context.settings.front.answer_timeout.as_micros() as u64;
-        self.client.overdue(context.clock.elapsed_micros(), timeout)
+        self.client.has_overdue_request(context.clock.elapsed_micros(), timeout)
     }
 
     /// Drops the connection, as it is lost or unreliable, and leaves the tear-down to the ledger.
@@ -130,16 +130,16 @@
     }
 
     /// Sends TEARDOWN and waits until the node confirms it.
-    async fn send_teardown(&mut self, context: &DirectorContext) -> Result<(), Fault> {
+    async fn send_teardown(&mut self, context: &DirectorContext) -> Result<(), CodecError> {
         let request = self.client.teardown(context.clock.elapsed_micros());
         self.send(context, request).await?;
         while let Some(packet) = self.connection.next().await {
             if let Packet::Response(response) = packet?
-                && self.client.answered(&response) == Answer::Done(Purpose::Teardown)
+                && self.client.handle_response(&response) == ResponseOutcome::Completed(Purpose::Teardown)
             {
                 return Ok(());
             }
         }
-        Err(Fault::Io(std::io::ErrorKind::UnexpectedEof.into()))
+        Err(CodecError::Io(std::io::ErrorKind::UnexpectedEof.into()))
     }
 }
--- a/crates/director/src/pool.rs
+++ b/crates/director/src/pool.rs
@@ -62,6 +62,6 @@
         }
         let stream = tokio::time::timeout(timeout, TcpStream::connect(node)).await??;
         stream.set_nodelay(true)?;
-        Ok(Framed::with_capacity(stream, Codec::relaying(), READ_BUFFER_BYTES))
+        Ok(Framed::with_capacity(stream, Codec::with_raw_frames(), READ_BUFFER_BYTES))
     }
 }
--- a/crates/director/src/rtsp_connection.rs
+++ b/crates/director/src/rtsp_connection.rs
@@ -10,10 +10,10 @@
 use ashglade::interface::AttemptOutcome;
 use ashglade_engine::{Input, SessionResponse};
 use ashglade_rtsp::client::{self, Purpose};
-use ashglade_rtsp::codec::FRAME_HEADER;
-use ashglade_rtsp::presentation::Asked;
-use ashglade_rtsp::server::{Server, State, Step};
-use ashglade_rtsp::{Codec, Fault, Packet, Request, Response, messages, rtcp};
+use ashglade_rtsp::codec::FRAME_HEADER_BYTES;
+use ashglade_rtsp::presentation::PresentationUrl;
+use ashglade_rtsp::server::{RequestAction, Server, State};
+use ashglade_rtsp::{Codec, CodecError, Packet, Request, Response, messages, rtcp};
 use bytes::BytesMut;
 use futures_util::{SinkExt, StreamExt};
 use rtsp_types::{Method, StatusCode, Url, headers};
@@ -59,8 +59,8 @@
 
 /// An event of the connection's loop.
 enum Event {
-    ViewerPacket(Option<Result<Packet, Fault>>),
-    NodePacket(Option<Result<Packet, Fault>>),
+    ViewerPacket(Option<Result<Packet, CodecError>>),
+    NodePacket(Option<Result<Packet, CodecError>>),
     SetupEnded(AttemptResult<Box<NodeSession>>),
     Command(Option<SessionCommand>),
     DrainStarted,
@@ -73,7 +73,7 @@
     let mut server = Server::new(front.session_timeout.as_secs() as u32, &front.clock_rates);
     if let Some(users) = &context.users {
         let nonce = format!("{:016x}{:016x}", context.random(), context.random());
-        server = server.guarded(users.clone(), nonce);
+        server = server.with_authentication(users.clone(), nonce);
     }
     let _ = stream.set_nodelay(true);
     let connection = Framed::new(stream, Codec::default());
@@ -151,13 +151,13 @@
                     Packet::Request(request) => self.requests.push_back(request),
                     Packet::Frame { channel, payload } => {
                         if let (Some(session), Some(track)) =
-                            (&mut self.session, self.server.track_of_rtcp(channel))
+                            (&mut self.session, self.server.track_for_rtcp_channel(channel))
                         {
                             session.handle_viewer_rtcp(track, &payload);
                         }
                     }
                     // The viewer's response to a REDIRECT needs no handling.
-                    Packet::Response(_) | Packet::Raw(_) => {}
+                    Packet::Response(_) | Packet::RawFrame(_) => {}
                 }
             }
             Event::NodePacket(Some(Ok(packet))) => self.relay_from_node(packet).await?,
@@ -168,7 +168,7 @@
             Event::DrainStarted => self.redirect().await?,
             Event::Tick => self.handle_tick().await?,
         }
-        while !self.server.waits()
+        while !self.server.awaits_response()
             && let Some(request) = self.requests.pop_front()
         {
             self.handle_request(request).await?;
@@ -185,7 +185,7 @@
                 let mut pending_frames = std::mem::take(&mut self.pending_frames);
                 self.connection.get_mut().write_all_buf(&mut pending_frames).await?;
             }
-            Ok::<(), Fault>(())
+            Ok::<(), CodecError>(())
         };
         let sent = tokio::time::timeout(timeout, sent).await;
         matches!(sent, Ok(Ok(()))).then_some(()).ok_or(Disconnected)
@@ -209,23 +209,23 @@
     async fn handle_request(&mut self, request: Request) -> Result<(), Disconnected> {
         let titles = &self.context.settings.titles;
         let context = self.context.clone();
-        let step = self.server.request(&request, |title| titles.get(title).map(|title| title.tracks));
+        let step = self.server.handle_request(&request, |title| titles.get(title).map(|title| title.tracks));
         let node = self.session.as_mut().and_then(|session| session.node.as_mut());
         let sent = match (step, node) {
-            (Step::Reply(response), _) => return self.send_response(response).await,
-            (Step::Ask(requested), _) => return self.request_session(requested).await,
-            (Step::Leave(response), _) => {
+            (RequestAction::Respond(response), _) => return self.send_response(response).await,
+            (RequestAction::RequestSession(requested), _) => return self.request_session(requested).await,
+            (RequestAction::EndSession(response), _) => {
                 self.end_session().await;
                 return self.send_response(response).await;
             }
             // The node is lost, but the state machine doesn't know that yet.
             (_, None) => {
-                let response = self.server.failed(StatusCode::BadGateway);
+                let response = self.server.request_failed(StatusCode::BadGateway);
                 return self.send_response(response).await;
             }
-            (Step::Track { track }, Some(node)) => node.setup(&context, track).await,
-            (Step::Play { range }, Some(node)) => node.play(&context, range).await,
-            (Step::Pause, Some(node)) => node.pause(&context).await,
+            (RequestAction::SetupTrack { track }, Some(node)) => node.setup(&context, track).await,
+            (RequestAction::Play { range }, Some(node)) => node.play(&context, range).await,
+            (RequestAction::Pause, Some(node)) => node.pause(&context).await,
         };
         match sent {
             Ok(()) => Ok(()),
@@ -234,19 +234,19 @@
     }
 
     /// Requests a session from the engine.
-    async fn request_session(&mut self, requested: Asked) -> Result<(), Disconnected> {
+    async fn request_session(&mut self, requested: PresentationUrl) -> Result<(), Disconnected> {
         let context = self.context.clone();
         let settings = &context.settings;
         let title = settings.titles.get(&requested.title);
         let resolved = title.and_then(|t| Some((t, settings.group_of(requested.group.as_deref(), t)?)));
         let Some((title, group)) = resolved else {
-            let response = self.server.turned_away(StatusCode::NotFound, None);
+            let response = self.server.session_rejected(StatusCode::NotFound, None);
             return self.send_response(response).await;
         };
         let session_id = context.new_session_id();
-        let top_rung = requested.top.unwrap_or(u8::MAX);
+        let top_rung = requested.top_rung.unwrap_or(u8::MAX);
         let peer = || self.connection.get_ref().peer_addr().map(|peer| peer.ip().to_string());
-        let query_value = |name: &str| requested.element(name).map(|value| value.to_string());
+        let query_value = |name: &str| requested.query_value(name).map(|value| value.to_string());
         let viewer_request =
             context.viewer_request(title, group, top_rung, query_value, || peer().unwrap_or_default());
         let (sender, commands) = mpsc::channel(SESSION_QUEUE_CAPACITY);
@@ -264,9 +264,9 @@
         match command {
             SessionCommand::SendSetup { setup, node, address, rung, decided_at, .. } => {
                 (session.rung, session.node_rung) = (rung.0, rung.0);
-                match session.requested.rendition(address, rung.0) {
+                match session.requested.rendition_url(address, rung.0) {
                     Some(url) => {
-                        let track = self.server.track();
+                        let track = self.server.setup_track();
                         let target = SetupTarget { node, address, url, track };
                         let send = |marker| attempt::send_setup(context, target, marker);
                         session.attempt = Some(Attempt::start(session_id, setup, decided_at, send));
@@ -295,7 +295,7 @@
                 Ok(())
             }
             SessionCommand::Respond(SessionResponse::Plays { .. }) => {
-                let ssrc = session.ssrc(self.server.track());
+                let ssrc = session.ssrc(self.server.setup_track());
                 info!(
                     sess = session_id.0,
                     title = session.requested.title,
@@ -303,7 +303,7 @@
                     "session playing"
                 );
                 let name = format!("{:016x}", context.random());
-                let response = self.server.granted(name, ssrc);
+                let response = self.server.session_accepted(name, ssrc);
                 self.send_response(response).await
             }
             SessionCommand::Respond(SessionResponse::Busy { retry_after, why }) => {
@@ -315,12 +315,12 @@
                     retry_after_s = after,
                     "busy reply"
                 );
-                let response = self.server.turned_away(StatusCode::ServiceUnavailable, after);
+                let response = self.server.session_rejected(StatusCode::ServiceUnavailable, after);
                 self.reject(response).await
             }
             SessionCommand::Respond(SessionResponse::TornDown) => {
                 info!(sess = session_id.0, "request failed: a SETUP may have run at a node");
-                let response = self.server.turned_away(StatusCode::BadGateway, None);
+                let response = self.server.session_rejected(StatusCode::BadGateway, None);
                 self.reject(response).await
             }
             SessionCommand::ChangeRung(rung) => {
@@ -362,7 +362,7 @@
         let Some(session) = &mut self.session else { return Ok(()) };
         let (from, to) = (session.node_rung, session.rung);
         let Some(node) = session.node.as_mut().filter(|_| from != to) else { return Ok(()) };
-        let Some(url) = session.requested.rendition(node.address, to) else { return Ok(()) };
+        let Some(url) = session.requested.rendition_url(node.address, to) else { return Ok(()) };
         session.node_rung = to;
         match node.switch(&context, from, url).await {
             Ok(()) => Ok(()),
@@ -391,7 +391,7 @@
         let mut packet = first_packet;
         for _ in 0..MAX_FRAMES_PER_FLUSH {
             match packet {
-                Packet::Raw(bytes) => self.relay_frame(bytes).await?,
+                Packet::RawFrame(bytes) => self.relay_frame(bytes).await?,
                 Packet::Response(response) => {
                     self.flush().await?;
                     self.handle_node_response(response).await?;
@@ -422,7 +422,7 @@
     async fn relay_frame(&mut self, mut bytes: BytesMut) -> Result<(), Disconnected> {
         let now = self.context.clock.elapsed_micros();
         let Some(session) = &mut self.session else { return Ok(()) };
-        let frame = session.rewrite_frame(bytes[1], &mut bytes[FRAME_HEADER..], now);
+        let frame = session.rewrite_frame(bytes[1], &mut bytes[FRAME_HEADER_BYTES..], now);
         let channels = |track| self.server.channels(track);
         let (channel, stream_ended) = match frame {
             FrameKind::Rtp { track } => (channels(track).map(|c| c.rtp), false),
@@ -461,25 +461,28 @@
             let node = node.node;
             context.engine.submit(Input::NodeLoad { node, load }).await;
         }
-        let reply = match node.client.answered(&response) {
-            client::Answer::Done(Purpose::Setup { track }) => self.server.track_granted(session.ssrc(track)),
-            client::Answer::Done(Purpose::Play) => {
+        let reply = match node.client.handle_response(&response) {
+            client::ResponseOutcome::Completed(Purpose::Setup { track }) => {
+                self.server.track_accepted(session.ssrc(track))
+            }
+            client::ResponseOutcome::Completed(Purpose::Play) => {
                 session.start_playing(context.clock.elapsed_micros());
                 let range = messages::header(&response, &headers::RANGE);
                 let info = messages::header(&response, &headers::RTP_INFO).map(|info| session.rtp_info(info));
-                let reply = self.server.plays(range, info.as_deref());
+                let reply = self.server.play_accepted(range, info.as_deref());
                 self.send_response(reply).await?;
                 return self.switch_rung().await;
             }
-            client::Answer::Done(Purpose::Pause) => self.server.paused(),
-            client::Answer::Refused(Purpose::Switch { from }, _) => {
+            client::ResponseOutcome::Completed(Purpose::Pause) => self.server.pause_accepted(),
+            client::ResponseOutcome::Rejected(Purpose::Switch { from }, _) => {
                 session.node_rung = from;
                 context.engine.submit(Input::RungUnchanged { session: session.id, rung: Rung(from) }).await;
                 return Ok(());
             }
-            client::Answer::Refused(Purpose::Setup { .. } | Purpose::Play | Purpose::Pause, status) => {
-                self.server.failed(status)
-            }
+            client::ResponseOutcome::Rejected(
+                Purpose::Setup { .. } | Purpose::Play | Purpose::Pause,
+                status,
+            ) => self.server.request_failed(status),
             _ => return Ok(()),
         };
         self.send_response(reply).await
@@ -498,13 +501,13 @@
         node.abandon(&self.context).await;
         self.context.engine.submit(Input::SessionEnded { session: session.id, outcome: how }).await;
         let Some(session) = self.session.take() else { return Ok(()) };
-        if self.server.waits() {
-            let reply = self.server.failed(StatusCode::BadGateway);
+        if self.server.awaits_response() {
+            let reply = self.server.request_failed(StatusCode::BadGateway);
             self.send_response(reply).await?;
         } else {
             for track in 0..self.context.settings.front.clock_rates.len() as u8 {
                 if let Some(channels) = self.server.channels(track) {
-                    let payload = rtcp::bye(session.ssrc(track));
+                    let payload = rtcp::build_bye(session.ssrc(track));
                     self.feed(Packet::Frame { channel: channels.rtcp, payload }).await?;
                 }
             }
@@ -515,7 +518,7 @@
 
     /// Resets the connection after its session has ended, so that the viewer can request another.
     async fn session_ended(&mut self, session: &RtspSession) -> Result<(), Disconnected> {
-        self.server.ended();
+        self.server.session_ended();
         self.context.engine.send(EngineMessage::CloseSession(session.id)).await;
         Ok(())
     }
@@ -524,7 +527,7 @@
     async fn handle_tick(&mut self) -> Result<(), Disconnected> {
         let context = self.context.clone();
         let front = &context.settings.front;
-        if self.last_received.elapsed() > front.session_timeout && !self.server.waits() {
+        if self.last_received.elapsed() > front.session_timeout && !self.server.awaits_response() {
             return Err(Disconnected);
         }
         let Some(session) = &mut self.session else { return Ok(()) };
@@ -564,6 +567,6 @@
             tokio::spawn(node.tear_down(self.context.clone()));
         }
         engine_handle::close_session(engine, session_id, &mut session.commands).await;
-        self.server.ended();
+        self.server.session_ended();
     }
 }
--- a/crates/director/src/rtsp_session.rs
+++ b/crates/director/src/rtsp_session.rs
@@ -2,9 +2,9 @@
 //! the node's RTP stream to the stream that the viewer sees.
 
 use ashglade::ids::SessionId;
-use ashglade_rtsp::presentation::{self, Asked};
-use ashglade_rtsp::rewrite::{Meter, Rewriter};
-use ashglade_rtsp::rtcp::{self, Heard};
+use ashglade_rtsp::presentation::{self, PresentationUrl};
+use ashglade_rtsp::rewrite::{DeliveryMeter, RtpRewriter};
+use ashglade_rtsp::rtcp::{self, ReceptionReport};
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
@@ -18,7 +18,7 @@
     /// The engine's identifier of the session.
     pub id: SessionId,
     /// What the viewer requested by its URL.
-    pub requested: Asked,
+    pub requested: PresentationUrl,
     /// Commands of the engine.
     pub commands: mpsc::Receiver<SessionCommand>,
     /// The SETUP in flight.
@@ -36,10 +36,10 @@
 
 /// The media of one track.
 struct Track {
-    rewriter: Rewriter,
-    meter: Meter,
+    rewriter: RtpRewriter,
+    meter: DeliveryMeter,
     /// The viewer's last RTCP receiver report.
-    receiver_report: Option<Heard>,
+    receiver_report: Option<ReceptionReport>,
 }
 
 /// What an interleaved frame of the node carries.
@@ -62,12 +62,12 @@
     pub fn new(
         context: &DirectorContext,
         id: SessionId,
-        requested: Asked,
+        requested: PresentationUrl,
         commands: mpsc::Receiver<SessionCommand>,
     ) -> RtspSession {
         let track = |&clock_rate: &u32| Track {
-            rewriter: Rewriter::new(context.random() as u32, clock_rate),
-            meter: Meter::new(clock_rate, context.clock.elapsed_micros()),
+            rewriter: RtpRewriter::new(context.random() as u32, clock_rate),
+            meter: DeliveryMeter::new(clock_rate, context.clock.elapsed_micros()),
             receiver_report: None,
         };
         RtspSession {
@@ -90,18 +90,18 @@
 
     /// Rewrites a frame of the node in place to one of the viewer's stream.
     pub fn rewrite_frame(&mut self, channel: u8, payload: &mut [u8], now_us: u64) -> FrameKind {
-        let source = self.node.as_ref().and_then(|node| node.client.track_of(channel));
+        let source = self.node.as_ref().and_then(|node| node.client.track_for_channel(channel));
         let Some((number, rtp)) = source else { return FrameKind::Unknown };
         let Some(track) = self.tracks.get_mut(usize::from(number)) else { return FrameKind::Unknown };
         if rtp {
-            track.meter.saw(payload);
-            return match track.rewriter.rtp(payload, now_us) {
+            track.meter.record(payload);
+            return match track.rewriter.rewrite_rtp(payload, now_us) {
                 true => FrameKind::Rtp { track: number },
                 false => FrameKind::Unknown,
             };
         }
-        let bye = rtcp::says_bye(payload);
-        match (track.rewriter.rtcp(payload), bye) {
+        let bye = rtcp::contains_bye(payload);
+        match (track.rewriter.rewrite_rtcp(payload), bye) {
             (true, true) => FrameKind::Bye { track: number },
             (true, false) => FrameKind::Rtcp { track: number },
             (false, _) => FrameKind::Unknown,
@@ -111,21 +111,22 @@
     /// Keeps the receiver report in the viewer's RTCP packet on a track.
     pub fn handle_viewer_rtcp(&mut self, track: u8, packet: &[u8]) {
         if let Some(track) = self.tracks.get_mut(usize::from(track)) {
-            track.receiver_report = rtcp::heard(packet, track.rewriter.ssrc()).or(track.receiver_report);
+            track.receiver_report =
+                rtcp::reception_report(packet, track.rewriter.ssrc()).or(track.receiver_report);
         }
     }
 
     /// Converts the node's `RTP-Info` to the sequence numbers, timestamps and URLs of the viewer's stream.
     pub fn rtp_info(&self, value: &str) -> String {
-        let entries = presentation::rtp_info(value).into_iter().map(|mut entry| {
+        let entries = presentation::parse_rtp_info(value).into_iter().map(|mut entry| {
             if let Some(track) = self.tracks.get(usize::from(entry.track)) {
                 let (seq, timestamp) =
-                    track.rewriter.seen(entry.seq.unwrap_or(0), entry.rtptime.unwrap_or(0));
+                    track.rewriter.map_position(entry.seq.unwrap_or(0), entry.rtptime.unwrap_or(0));
                 (entry.seq, entry.rtptime) = (entry.seq.and(Some(seq)), entry.rtptime.and(Some(timestamp)));
             }
             entry
         });
-        presentation::write_rtp_info(entries, |track| self.requested.track_url(track))
+        presentation::format_rtp_info(entries, |track| self.requested.track_url(track))
     }
 
     /// Restarts the measurement of delivery, as the node now plays.
@@ -139,8 +140,11 @@
     pub fn delivered_share(&mut self, now_us: u64, set_up: impl Fn(u8) -> bool) -> Option<f64> {
         let shares =
             (0u8..).zip(&mut self.tracks).filter(|(number, _)| set_up(*number)).filter_map(|(_, track)| {
-                let flow = track.meter.take(now_us)?;
-                Some(flow.share * (1.0 - track.receiver_report.map_or(0.0, |report| report.lost)))
+                let flow = track.meter.finish_window(now_us)?;
+                Some(
+                    flow.delivered_fraction
+                        * (1.0 - track.receiver_report.map_or(0.0, |report| report.fraction_lost)),
+                )
             });
         shares.reduce(f64::min)
     }
--- a/crates/director/src/serve.rs
+++ b/crates/director/src/serve.rs
@@ -8,7 +8,7 @@
 use ashglade_discovery::NodeList;
 use ashglade_engine::{AdmissionConfig, EngineConfig, Input};
 use ashglade_ledger::{Ledger, TeardownPolicy, journal};
-use ashglade_rtsp::digest::Users;
+use ashglade_rtsp::digest::Credentials;
 use ashglade_settings::Settings;
 use bytes::Bytes;
 use http_body_util::Empty;
@@ -131,7 +131,7 @@
         http_client: http_client(&settings),
         settings: settings.clone(),
         draining: watch::channel(false).0,
-        users: settings.front.users.clone().map(|(realm, users)| Arc::new(Users { realm, users })),
+        users: settings.front.users.clone().map(|(realm, users)| Arc::new(Credentials { realm, users })),
         next_session_id: AtomicU64::new(started_ms << 20),
         random: Mutex::new(oorandom::Rand64::new(
             u128::from(started_ms) << 64 | u128::from(settings.headend.seed),
--- a/crates/director/tests/lists.rs
+++ b/crates/director/tests/lists.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use ashglade_rtsp::messages::{self, Channels};
+use ashglade_rtsp::messages::{self, InterleavedChannels};
 use ashglade_rtsp::{Codec, Packet};
 use futures_util::{SinkExt, StreamExt};
 use rtsp_types::{Method, StatusCode, Url, headers};
@@ -33,8 +33,10 @@
                     if *request.method() == Method::Setup {
                         setup_count.fetch_add(1, Ordering::SeqCst);
                         response.insert_header(headers::SESSION, "1");
-                        response
-                            .insert_header(headers::TRANSPORT, Channels { rtp: 0, rtcp: 1 }.granted(None));
+                        response.insert_header(
+                            headers::TRANSPORT,
+                            InterleavedChannels { rtp: 0, rtcp: 1 }.transport_header(None),
+                        );
                     }
                     if framed.send(Packet::Response(response)).await.is_err() {
                         return;
--- a/crates/director/tests/whole_path.rs
+++ b/crates/director/tests/whole_path.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use ashglade_rtsp::messages::{self, Channels};
+use ashglade_rtsp::messages::{self, InterleavedChannels};
 use ashglade_rtsp::{Codec, Packet, Request, Response};
 use bytes::{BufMut, BytesMut};
 use expect_test::expect;
@@ -104,8 +104,8 @@
     let mut response = messages::response(status, messages::cseq(request).as_deref());
     if *request.method() == Method::Setup && status == StatusCode::Ok {
         response.insert_header(headers::SESSION, "node-session");
-        let channels = Channels { rtp: 0, rtcp: 1 };
-        response.insert_header(headers::TRANSPORT, channels.granted(None));
+        let channels = InterleavedChannels { rtp: 0, rtcp: 1 };
+        response.insert_header(headers::TRANSPORT, channels.transport_header(None));
     }
     response
 }
--- a/crates/hls/src/lib.rs
+++ b/crates/hls/src/lib.rs
@@ -7,9 +7,9 @@
 pub mod session;
 pub mod token;
 
-pub use playlist::{Master, Media, Trouble, Variant};
-pub use session::{Ask, Gone, Session, Step};
-pub use token::{Forged, Key, Keys, Token};
+pub use playlist::{MediaPlaylist, MultivariantPlaylist, PlaylistError, Variant};
+pub use session::{GoneReason, RequestAction, RequestKind, Session};
+pub use token::{KeyRing, SigningKey, Token, TokenError};
 
 #[cfg(test)]
 mod tests;
--- a/crates/hls/src/session.rs
+++ b/crates/hls/src/session.rs
@@ -12,28 +12,28 @@
 
 use ashglade::time::{Instant, Span};
 
-use crate::playlist::{Variant, offered};
+use crate::playlist::{Variant, offered_variants};
 
 /// The kind of a player's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Ask {
+pub enum RequestKind {
     /// The multivariant playlist.
-    Master,
+    MultivariantPlaylist,
     /// The media playlist of the variant with this index, or `None` for a rendition shared by variants, such
     /// as audio.
-    Media(Option<usize>),
+    MediaPlaylist(Option<usize>),
     /// Any other resource, such as a segment, a key or an initialization section, with the variant as for a
     /// playlist.
-    Part(Option<usize>),
+    Resource(Option<usize>),
 }
 
-impl std::fmt::Display for Ask {
+impl std::fmt::Display for RequestKind {
     /// Formats the kind as in a URI: `i`, or `m` or `p` followed by the variant's index or by `x`.
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         let (kind, variant) = match self {
-            Ask::Master => return f.write_str("i"),
-            Ask::Media(variant) => ('m', variant),
-            Ask::Part(variant) => ('p', variant),
+            RequestKind::MultivariantPlaylist => return f.write_str("i"),
+            RequestKind::MediaPlaylist(variant) => ('m', variant),
+            RequestKind::Resource(variant) => ('p', variant),
         };
         match variant {
             Some(variant) => write!(f, "{kind}{variant}"),
@@ -42,10 +42,10 @@
     }
 }
 
-impl Ask {
+impl RequestKind {
     /// Parses the kind of a playlist or resource request from a URI. The multivariant playlist is not
     /// accepted.
-    pub fn read(text: &str) -> Option<Ask> {
+    pub fn parse(text: &str) -> Option<RequestKind> {
         let mut chars = text.chars();
         let kind = chars.next()?;
         let variant = match chars.as_str() {
@@ -53,8 +53,8 @@
             number => Some(number.parse().ok().filter(|_| number.bytes().all(|b| b.is_ascii_digit()))?),
         };
         match kind {
-            'm' => Some(Ask::Media(variant)),
-            'p' => Some(Ask::Part(variant)),
+            'm' => Some(RequestKind::MediaPlaylist(variant)),
+            'p' => Some(RequestKind::Resource(variant)),
             _ => None,
         }
     }
@@ -62,7 +62,7 @@
 
 /// The action to take on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum RequestAction {
     /// Keep the request until the engine responds.
     Wait,
     /// Fetch the resource from the node. For a variant's media playlist, fetch that of the variant with this
@@ -71,14 +71,14 @@
     /// Reject the request: the variant is no longer offered, and the player falls back to another one.
     Withdrawn,
     /// Reject the request: there is no session.
-    Gone(Gone),
+    Gone(GoneReason),
 }
 
 /// The reason why a session is gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Gone {
+pub enum GoneReason {
     /// The session ended, because it was idle or because its node was lost and no other node had capacity.
-    Over,
+    Ended,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -138,12 +138,12 @@
     }
 
     /// Returns the maximum peak rate of a variant, in kB/s.
-    pub fn most(&self) -> f64 {
+    pub fn max_rate(&self) -> f64 {
         self.max_rate
     }
 
     /// Records that a node accepted the session, at a rung of `rate` kB/s.
-    pub fn plays(&mut self, rate: f64, now: Instant) {
+    pub fn started(&mut self, rate: f64, now: Instant) {
         if self.phase != Phase::Ended {
             (self.phase, self.last_activity) = (Phase::Playing, now);
             (self.max_rate, self.previous_max_rate) = (rate * PEAK_TO_RUNG_RATE, None);
@@ -153,7 +153,7 @@
     /// Sets the variants of the node's multivariant playlist. Returns false, and keeps the previous ones, if
     /// the session moved to a node whose variants differ, as the URIs that the player holds would refer to
     /// other variants there.
-    pub fn has(&mut self, variants: Vec<Variant>) -> bool {
+    pub fn set_variants(&mut self, variants: Vec<Variant>) -> bool {
         let paths = |variants: &[Variant]| {
             variants.iter().map(|v| v.path.split('?').next().map(str::to_string)).collect::<Vec<_>>()
         };
@@ -165,17 +165,17 @@
     }
 
     /// Returns the path of a variant's media playlist at the current node, relative to the title's folder.
-    pub fn path(&self, variant: usize) -> Option<&str> {
+    pub fn variant_path(&self, variant: usize) -> Option<&str> {
         self.variants.get(variant).map(|v| v.path.as_str())
     }
 
     /// Returns the peak rate of a variant, in kB/s.
-    pub fn rate(&self, variant: usize) -> Option<f64> {
-        self.variants.get(variant).map(|v| v.rate)
+    pub fn variant_rate(&self, variant: usize) -> Option<f64> {
+        self.variants.get(variant).map(|v| v.peak_kb_per_s)
     }
 
     /// Sets the rung's rate in kB/s. The player notices the change when it reloads its playlist.
-    pub fn rung(&mut self, rate: f64, now: Instant) {
+    pub fn set_rung_rate(&mut self, rate: f64, now: Instant) {
         let max_rate = rate * PEAK_TO_RUNG_RATE;
         self.previous_max_rate = (max_rate < self.max_rate)
             .then(|| (self.max_rate, now + self.target_duration * WITHDRAWN_VARIANT_GRACE_TARGET_DURATIONS));
@@ -183,13 +183,13 @@
     }
 
     /// Ends the session.
-    pub fn over(&mut self) {
+    pub fn end(&mut self) {
         self.phase = Phase::Ended;
     }
 
     /// Records the loss of the node. Returns whether the session was playing, that is, whether the loss is
     /// new.
-    pub fn lost(&mut self) -> bool {
+    pub fn node_lost(&mut self) -> bool {
         let was_playing = self.phase == Phase::Playing;
         if was_playing {
             self.phase = Phase::NodeLost;
@@ -199,7 +199,7 @@
 
     /// Returns whether another node has to be requested from the engine, because the node was lost and the
     /// player has sent a request since. Returns true once per loss.
-    pub fn seeks(&mut self) -> bool {
+    pub fn start_failover(&mut self) -> bool {
         let needs_node = self.phase == Phase::NodeLost;
         if needs_node {
             self.phase = Phase::Requested;
@@ -208,26 +208,33 @@
     }
 
     /// Returns whether the session has ended.
-    pub fn is_over(&self) -> bool {
+    pub fn is_ended(&self) -> bool {
         self.phase == Phase::Ended
     }
 
     /// Handles a request of the player.
-    pub fn asked(&mut self, kind: Ask, now: Instant) -> Step {
+    pub fn handle_request(&mut self, kind: RequestKind, now: Instant) -> RequestAction {
         self.last_activity = now;
         match (self.phase, kind) {
-            (Phase::Ended, _) => Step::Gone(Gone::Over),
-            (Phase::Requested | Phase::NodeLost, _) => Step::Wait,
-            (Phase::Playing, Ask::Master | Ask::Media(None) | Ask::Part(None)) => Step::Fetch(None),
-            (Phase::Playing, Ask::Media(Some(variant))) => {
-                Step::Fetch(Some(self.offered_or_highest(variant)))
+            (Phase::Ended, _) => RequestAction::Gone(GoneReason::Ended),
+            (Phase::Requested | Phase::NodeLost, _) => RequestAction::Wait,
+            (
+                Phase::Playing,
+                RequestKind::MultivariantPlaylist
+                | RequestKind::MediaPlaylist(None)
+                | RequestKind::Resource(None),
+            ) => RequestAction::Fetch(None),
+            (Phase::Playing, RequestKind::MediaPlaylist(Some(variant))) => {
+                RequestAction::Fetch(Some(self.offered_or_highest(variant)))
             }
-            (Phase::Playing, Ask::Part(Some(variant))) => match self.variants.get(variant) {
-                Some(v) if v.rate <= self.max_rate || self.is_in_grace_period(v.rate, now) => {
-                    Step::Fetch(Some(variant))
+            (Phase::Playing, RequestKind::Resource(Some(variant))) => match self.variants.get(variant) {
+                Some(v)
+                    if v.peak_kb_per_s <= self.max_rate || self.is_in_grace_period(v.peak_kb_per_s, now) =>
+                {
+                    RequestAction::Fetch(Some(variant))
                 }
-                Some(_) if self.offered_or_highest(variant) == variant => Step::Fetch(Some(variant)),
-                _ => Step::Withdrawn,
+                Some(_) if self.offered_or_highest(variant) == variant => RequestAction::Fetch(Some(variant)),
+                _ => RequestAction::Withdrawn,
             },
         }
     }
@@ -239,40 +246,40 @@
 
     /// Returns the variant itself if it is offered, or else the highest variant that is.
     fn offered_or_highest(&self, variant: usize) -> usize {
-        let offered = offered(&self.variants, self.max_rate).unwrap_or_default();
+        let offered = offered_variants(&self.variants, self.max_rate).unwrap_or_default();
         match offered.contains(&variant) {
             true => variant,
             false => offered
                 .into_iter()
-                .max_by(|&a, &b| self.variants[a].rate.total_cmp(&self.variants[b].rate))
+                .max_by(|&a, &b| self.variants[a].peak_kb_per_s.total_cmp(&self.variants[b].peak_kb_per_s))
                 .unwrap_or(variant),
         }
     }
 
     /// Sets the target duration of the last media playlist, in seconds.
-    pub fn target(&mut self, target_duration: f64) {
+    pub fn set_target_duration(&mut self, target_duration: f64) {
         self.target_duration = Span::from_secs(target_duration.max(MIN_TARGET_DURATION_SECONDS));
     }
 
     /// Records the start of a response.
-    pub fn begins(&mut self) {
+    pub fn response_started(&mut self) {
         self.active_responses += 1;
     }
 
     /// Records the end of a response.
-    pub fn done(&mut self, now: Instant) {
+    pub fn response_finished(&mut self, now: Instant) {
         self.active_responses = self.active_responses.saturating_sub(1);
         self.last_activity = now;
     }
 
     /// Returns the number of responses in progress.
-    pub fn open(&self) -> usize {
+    pub fn active_responses(&self) -> usize {
         self.active_responses
     }
 
     /// Returns the time at which the session becomes idle unless the player sends another request. Returns
     /// `None` while a response is in progress or the engine has not responded.
-    pub fn quiet_at(&self) -> Option<Instant> {
+    pub fn idle_deadline(&self) -> Option<Instant> {
         (self.active_responses == 0 && self.phase != Phase::Requested)
             .then(|| self.last_activity + self.target_duration * IDLE_TARGET_DURATIONS)
     }
--- a/crates/hls/src/tests.rs
+++ b/crates/hls/src/tests.rs
@@ -5,21 +5,21 @@
 
 use super::*;
 
-fn keys(ids: &[u8]) -> Keys {
-    Keys::new(ids.iter().map(|&id| Key { id, secret: vec![id; 20] }).collect()).unwrap()
+fn keys(ids: &[u8]) -> KeyRing {
+    KeyRing::new(ids.iter().map(|&id| SigningKey { id, secret: vec![id; 20] }).collect()).unwrap()
 }
 
 fn at(seconds: f64) -> Instant {
     Instant::from_ms(seconds * 1e3)
 }
 
-const TOKEN: Token = Token { sess: SessionId(77), title: TitleId(5), group: GroupId(2), expires: 1000 };
+const TOKEN: Token = Token { session: SessionId(77), title: TitleId(5), group: GroupId(2), expires: 1000 };
 
 #[test]
 fn a_token_is_valid_for_its_session_title_and_lifetime() {
     let signed = keys(&[1]).sign(&TOKEN);
     let mut trace = String::new();
-    let mut record = |case: &str, keys: &Keys, text: &str, title: u64, now: u64| {
+    let mut record = |case: &str, keys: &KeyRing, text: &str, title: u64, now: u64| {
         let result = match keys.verify(text, TitleId(title), now) {
             Ok(token) => format!("{token:?}"),
             Err(error) => error.to_string(),
@@ -34,10 +34,10 @@
     record("truncated", &keys(&[1]), &signed[..signed.len() - 2], 5, 1);
     record("empty", &keys(&[1]), "", 5, 1);
     expect![[r#"
-        as signed: Token { sess: SessionId(77), title: TitleId(5), group: GroupId(2), expires: 1000 }
+        as signed: Token { session: SessionId(77), title: TitleId(5), group: GroupId(2), expires: 1000 }
         expired: the token has expired
         another title: the token is for another title
-        new key in front: Token { sess: SessionId(77), title: TitleId(5), group: GroupId(2), expires: 1000 }
+        new key in front: Token { session: SessionId(77), title: TitleId(5), group: GroupId(2), expires: 1000 }
         old key removed: the token was not signed here
         truncated: the token is not well-formed
         empty: the token is not well-formed
@@ -52,18 +52,18 @@
     }
     let path = keys(&[1]).sign_path(SessionId(77), "v1/3.ts");
     assert_eq!(keys(&[2, 1]).verify_path(SessionId(77), "v1/3.ts", &path), Ok(()));
-    assert_eq!(keys(&[1]).verify_path(SessionId(78), "v1/3.ts", &path), Err(Forged::Path));
-    assert_eq!(keys(&[1]).verify_path(SessionId(77), "v2/3.ts", &path), Err(Forged::Path));
-    assert_eq!(keys(&[1]).verify_path(SessionId(77), "v1/3.ts", ""), Err(Forged::Path));
+    assert_eq!(keys(&[1]).verify_path(SessionId(78), "v1/3.ts", &path), Err(TokenError::Path));
+    assert_eq!(keys(&[1]).verify_path(SessionId(77), "v2/3.ts", &path), Err(TokenError::Path));
+    assert_eq!(keys(&[1]).verify_path(SessionId(77), "v1/3.ts", ""), Err(TokenError::Path));
     assert_eq!(format!("{:?}", keys(&[3])), "Keys[3]");
 }
 
-fn place(url: &Url) -> playlist::Place<'_> {
-    playlist::Place { url, folder: "/renewal/" }
+fn location(url: &Url) -> playlist::PlaylistLocation<'_> {
+    playlist::PlaylistLocation { url, folder: "/renewal/" }
 }
 
-fn session_uri(ask: Ask, path: &str) -> String {
-    format!("/renewal/T/{ask}/{path}")
+fn session_uri(kind: RequestKind, path: &str) -> String {
+    format!("/renewal/T/{kind}/{path}")
 }
 
 const MASTER: &str = "#EXTM3U
@@ -85,7 +85,8 @@
 #[test]
 fn a_multivariant_playlist_has_the_variants_within_the_rung() {
     let url = Url::parse("http://node:81/renewal/index.m3u8").unwrap();
-    let master = playlist::master(MASTER.as_bytes(), &place(&url), 210.0, &session_uri).unwrap();
+    let master =
+        playlist::rewrite_multivariant(MASTER.as_bytes(), &location(&url), 210.0, &session_uri).unwrap();
     expect![[r##"
         #EXTM3U
         #EXT-X-VERSION:6
@@ -101,7 +102,7 @@
         #EXT-X-I-FRAME-STREAM-INF:BANDWIDTH=90000,URI="/renewal/T/mx/low/iframes.m3u8"
     "##]]
     .assert_eq(&master.text);
-    expect![[r#"[Variant { path: "low/index.m3u8", rate: 100.0 }, Variant { path: "mid/index.m3u8?n=4", rate: 200.0 }, Variant { path: "high/index.m3u8", rate: 500.0 }], 1 left out"#]].assert_eq(&format!("{:?}, {} left out", master.variants, master.left_out));
+    expect![[r#"[Variant { path: "low/index.m3u8", peak_kb_per_s: 100.0 }, Variant { path: "mid/index.m3u8?n=4", peak_kb_per_s: 200.0 }, Variant { path: "high/index.m3u8", peak_kb_per_s: 500.0 }], 1 left out"#]].assert_eq(&format!("{:?}, {} left out", master.variants, master.removed_variants));
     // An independent parser finds the expected variants.
     let m3u8_rs::Playlist::MasterPlaylist(read) =
         m3u8_rs::parse_playlist_res(master.text.as_bytes()).unwrap()
@@ -111,8 +112,9 @@
     let found: Vec<(u64, &str)> = read.variants.iter().map(|v| (v.bandwidth, v.uri.as_str())).collect();
     expect![[r#"[(800000, "/renewal/T/m0/low/index.m3u8"), (1600000, "/renewal/T/m1/mid/index.m3u8?n=4"), (90000, "/renewal/T/mx/low/iframes.m3u8")]"#]].assert_eq(&format!("{found:?}"));
     // If all variants exceed the limit, the lowest one is kept.
-    let lowest = playlist::master(MASTER.as_bytes(), &place(&url), 1.0, &session_uri).unwrap();
-    assert_eq!((lowest.left_out, lowest.text.matches("STREAM-INF").count()), (2, 1));
+    let lowest =
+        playlist::rewrite_multivariant(MASTER.as_bytes(), &location(&url), 1.0, &session_uri).unwrap();
+    assert_eq!((lowest.removed_variants, lowest.text.matches("STREAM-INF").count()), (2, 1));
 }
 
 const MEDIA: &str = "#EXTM3U
@@ -135,9 +137,10 @@
 #[test]
 fn a_media_playlist_keeps_all_but_its_uris_and_low_latency_tags() {
     let url = Url::parse("http://node:81/renewal/mid/index.m3u8?n=4").unwrap();
-    let media =
-        playlist::media(MEDIA.as_bytes(), &place(&url), &|path| session_uri(Ask::Part(Some(1)), path))
-            .unwrap();
+    let media = playlist::rewrite_media(MEDIA.as_bytes(), &location(&url), &|path| {
+        session_uri(RequestKind::Resource(Some(1)), path)
+    })
+    .unwrap();
     expect![[r##"
         #EXTM3U
         #EXT-X-TARGETDURATION:4
@@ -153,7 +156,7 @@
         /renewal/T/p1/mid/101.m4s?n=4
     "##]]
     .assert_eq(&media.text);
-    assert_eq!((media.target, media.ended, media.segments), (4.0, false, 2));
+    assert_eq!((media.target_duration, media.ended, media.segment_count), (4.0, false, 2));
     let m3u8_rs::Playlist::MediaPlaylist(read) = m3u8_rs::parse_playlist_res(media.text.as_bytes()).unwrap()
     else {
         panic!("no media playlist");
@@ -187,19 +190,25 @@
     ];
     let mut trace = String::new();
     for (case, bytes) in cases {
-        let result = match playlist::media(&bytes, &place(&url), &|path| path.to_string()) {
+        let result = match playlist::rewrite_media(&bytes, &location(&url), &|path| path.to_string()) {
             Ok(media) => format!("accepted: {media:?}"),
             Err(error) => error.to_string(),
         };
         trace += &format!("{case}: {result}\n");
     }
     let no_bandwidth = b"#EXTM3U\n#EXT-X-STREAM-INF:CODECS=\"x\"\nv.m3u8\n";
-    trace += &format!("{}\n", playlist::master(no_bandwidth, &place(&url), 1.0, &session_uri).unwrap_err());
     trace += &format!(
         "{}\n",
-        playlist::master(b"#EXTM3U\nv.m3u8\n", &place(&url), 1.0, &session_uri).unwrap_err()
+        playlist::rewrite_multivariant(no_bandwidth, &location(&url), 1.0, &session_uri).unwrap_err()
+    );
+    trace += &format!(
+        "{}\n",
+        playlist::rewrite_multivariant(b"#EXTM3U\nv.m3u8\n", &location(&url), 1.0, &session_uri).unwrap_err()
+    );
+    trace += &format!(
+        "{}\n",
+        playlist::rewrite_multivariant(b"#EXTM3U\n", &location(&url), 1.0, &session_uri).unwrap_err()
     );
-    trace += &format!("{}\n", playlist::master(b"#EXTM3U\n", &place(&url), 1.0, &session_uri).unwrap_err());
     expect![[r#"
         empty: line 1: missing #EXTM3U
         HTML page: line 1: missing #EXTM3U
@@ -223,11 +232,18 @@
 
 #[test]
 fn request_kinds_round_trip() {
-    for kind in [Ask::Media(Some(0)), Ask::Media(None), Ask::Part(Some(12)), Ask::Part(None)] {
-        assert_eq!(Ask::read(&kind.to_string()), Some(kind));
+    for kind in [
+        RequestKind::MediaPlaylist(Some(0)),
+        RequestKind::MediaPlaylist(None),
+        RequestKind::Resource(Some(12)),
+        RequestKind::Resource(None),
+    ] {
+        assert_eq!(RequestKind::parse(&kind.to_string()), Some(kind));
     }
     assert!(
-        ["", "m", "q1", "m-1", "p99999999999999999999", "mé"].iter().all(|text| Ask::read(text).is_none())
+        ["", "m", "q1", "m-1", "p99999999999999999999", "mé"]
+            .iter()
+            .all(|text| RequestKind::parse(text).is_none())
     );
 }
 
@@ -254,7 +270,7 @@
             Some(query) => format!("{path}?{query}"),
             None => path.to_string(),
         });
-        let resolved = playlist::media(text.as_bytes(), &place(&url), &session_uri).ok();
+        let resolved = playlist::rewrite_media(text.as_bytes(), &location(&url), &session_uri).ok();
         let resolved = resolved.and_then(|media| media.text.lines().last().map(str::to_string));
         assert_eq!(resolved, expected.filter(|_| joined.scheme() == "http"), "{uri}");
     }
@@ -280,12 +296,12 @@
                 .filter(|l| !l.starts_with('#') && !l.trim().is_empty())
                 .all(|l| l.starts_with("/renewal/T/"))
         };
-        if let Ok(media) =
-            playlist::media(&bytes, &place(&url), &|path| session_uri(Ask::Part(Some(0)), path))
-        {
+        if let Ok(media) = playlist::rewrite_media(&bytes, &location(&url), &|path| {
+            session_uri(RequestKind::Resource(Some(0)), path)
+        }) {
             assert!(has_session_uris_only(&media.text), "{}", media.text);
         }
-        if let Ok(master) = playlist::master(&bytes, &place(&url), 210.0, &session_uri) {
+        if let Ok(master) = playlist::rewrite_multivariant(&bytes, &location(&url), 210.0, &session_uri) {
             assert!(has_session_uris_only(&master.text), "{}", master.text);
         }
     }
@@ -294,48 +310,62 @@
 #[test]
 fn a_session_from_its_request_over_rung_changes_and_a_lost_node_to_its_idle_end() {
     let variants = |n: u32| -> Vec<Variant> {
-        [100.0, 200.0, 500.0].map(|rate| Variant { path: format!("{rate}/i.m3u8?n={n}"), rate }).to_vec()
+        [100.0, 200.0, 500.0]
+            .map(|peak_kb_per_s| Variant { path: format!("{peak_kb_per_s}/i.m3u8?n={n}"), peak_kb_per_s })
+            .to_vec()
     };
     let mut session = Session::new(at(0.0));
     let mut trace = Vec::new();
     let mut record = |case: &str, result: &dyn std::fmt::Debug| trace.push(format!("{case}: {result:?}"));
-    record("request before the engine responds", &session.asked(Ask::Master, at(0.0)));
-    record("idle deadline before the engine responds", &session.quiet_at());
-    session.plays(200.0, at(0.1));
-    assert!(session.has(variants(1)));
-    record("media playlist within the rung", &session.asked(Ask::Media(Some(1)), at(0.2)));
-    record("media playlist above the rung", &session.asked(Ask::Media(Some(2)), at(0.2)));
-    record("segment above the rung", &session.asked(Ask::Part(Some(2)), at(0.2)));
-    record("audio rendition", &session.asked(Ask::Part(None), at(0.2)));
-    record("unknown variant", &session.asked(Ask::Part(Some(9)), at(0.2)));
-    session.target(4.0);
-    session.rung(100.0, at(1.0));
-    record("lower rung, media playlist of the lower variant", &session.asked(Ask::Media(Some(1)), at(1.1)));
+    record(
+        "request before the engine responds",
+        &session.handle_request(RequestKind::MultivariantPlaylist, at(0.0)),
+    );
+    record("idle deadline before the engine responds", &session.idle_deadline());
+    session.started(200.0, at(0.1));
+    assert!(session.set_variants(variants(1)));
+    record(
+        "media playlist within the rung",
+        &session.handle_request(RequestKind::MediaPlaylist(Some(1)), at(0.2)),
+    );
+    record(
+        "media playlist above the rung",
+        &session.handle_request(RequestKind::MediaPlaylist(Some(2)), at(0.2)),
+    );
+    record("segment above the rung", &session.handle_request(RequestKind::Resource(Some(2)), at(0.2)));
+    record("audio rendition", &session.handle_request(RequestKind::Resource(None), at(0.2)));
+    record("unknown variant", &session.handle_request(RequestKind::Resource(Some(9)), at(0.2)));
+    session.set_target_duration(4.0);
+    session.set_rung_rate(100.0, at(1.0));
+    record(
+        "lower rung, media playlist of the lower variant",
+        &session.handle_request(RequestKind::MediaPlaylist(Some(1)), at(1.1)),
+    );
     record(
         "segment of the previous variant in the grace period",
-        &session.asked(Ask::Part(Some(1)), at(8.9)),
+        &session.handle_request(RequestKind::Resource(Some(1)), at(8.9)),
     );
     record(
         "segment of the previous variant after the grace period",
-        &session.asked(Ask::Part(Some(1)), at(9.1)),
+        &session.handle_request(RequestKind::Resource(Some(1)), at(9.1)),
     );
-    session.rung(500.0, at(10.0));
-    record("higher rung", &session.asked(Ask::Media(Some(2)), at(10.0)));
-    record("node lost, reported twice", &(session.lost(), session.lost()));
-    record("segment after the loss", &session.asked(Ask::Part(Some(0)), at(10.5)));
-    record("requests another node, once", &(session.seeks(), session.seeks()));
-    session.plays(100.0, at(11.0));
-    record("same variants at the new node", &session.has(variants(2)));
-    record("variant path at the new node", &session.path(0));
-    record("other variants at the new node", &session.has(variants(2)[..2].to_vec()));
-    session.begins();
-    record("idle deadline while a segment is sent", &session.quiet_at());
-    session.done(at(20.0));
-    record("idle deadline in ms", &session.quiet_at().map(|at| at.as_ms()));
-    session.over();
-    record("request after the end", &session.asked(Ask::Media(Some(0)), at(41.0)));
-    session.plays(100.0, at(42.0));
-    record("remains ended", &session.is_over());
+    session.set_rung_rate(500.0, at(10.0));
+    record("higher rung", &session.handle_request(RequestKind::MediaPlaylist(Some(2)), at(10.0)));
+    record("node lost, reported twice", &(session.node_lost(), session.node_lost()));
+    record("segment after the loss", &session.handle_request(RequestKind::Resource(Some(0)), at(10.5)));
+    record("requests another node, once", &(session.start_failover(), session.start_failover()));
+    session.started(100.0, at(11.0));
+    record("same variants at the new node", &session.set_variants(variants(2)));
+    record("variant path at the new node", &session.variant_path(0));
+    record("other variants at the new node", &session.set_variants(variants(2)[..2].to_vec()));
+    session.response_started();
+    record("idle deadline while a segment is sent", &session.idle_deadline());
+    session.response_finished(at(20.0));
+    record("idle deadline in ms", &session.idle_deadline().map(|at| at.as_ms()));
+    session.end();
+    record("request after the end", &session.handle_request(RequestKind::MediaPlaylist(Some(0)), at(41.0)));
+    session.started(100.0, at(42.0));
+    record("remains ended", &session.is_ended());
     expect![[r#"
         request before the engine responds: Wait
         idle deadline before the engine responds: None
@@ -356,7 +386,7 @@
         other variants at the new node: false
         idle deadline while a segment is sent: None
         idle deadline in ms: Some(40000.0)
-        request after the end: Gone(Over)
+        request after the end: Gone(Ended)
         remains ended: true
     "#]]
     .assert_eq(&(trace.join("\n") + "\n"));
--- a/crates/hls/src/token.rs
+++ b/crates/hls/src/token.rs
@@ -13,12 +13,12 @@
 
 /// A signing key with its identifier, which tokens contain in plain text.
 #[derive(Clone)]
-pub struct Key {
+pub struct SigningKey {
     pub id: u8,
     pub secret: Vec<u8>,
 }
 
-impl std::fmt::Debug for Key {
+impl std::fmt::Debug for SigningKey {
     /// Formats the identifier only, so that logs contain no secrets.
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(f, "Key({})", self.id)
@@ -27,7 +27,7 @@
 
 /// The configured keys. The first one signs; all of them verify.
 #[derive(Clone)]
-pub struct Keys(Vec<PreparedKey>);
+pub struct KeyRing(Vec<PreparedKey>);
 
 /// A key with an HMAC state that has already absorbed the secret.
 #[derive(Clone)]
@@ -36,7 +36,7 @@
     mac: Hmac<Sha256>,
 }
 
-impl std::fmt::Debug for Keys {
+impl std::fmt::Debug for KeyRing {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         f.write_str("Keys")?;
         f.debug_list().entries(self.0.iter().map(|key| key.id)).finish()
@@ -46,7 +46,7 @@
 /// The contents of a session token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Token {
-    pub sess: SessionId,
+    pub session: SessionId,
     pub title: TitleId,
     pub group: GroupId,
     /// Expiry as Unix time, in seconds.
@@ -55,7 +55,7 @@
 
 /// The reason why a token or a path signature is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Forged {
+pub enum TokenError {
     #[error("the token is not well-formed")]
     Malformed,
     #[error("the token was not signed here")]
@@ -75,15 +75,15 @@
 /// Length of the signature of a path, in bytes.
 const PATH_SIGNATURE_BYTES: usize = 8;
 
-impl Keys {
+impl KeyRing {
     /// Prepares the keys. Returns `None` if there are none.
-    pub fn new(keys: Vec<Key>) -> Option<Keys> {
-        let prepare = |key: Key| {
+    pub fn new(keys: Vec<SigningKey>) -> Option<KeyRing> {
+        let prepare = |key: SigningKey| {
             // HMAC accepts keys of any length: keys longer than a block are hashed first.
             let mac = Hmac::<Sha256>::new_from_slice(&key.secret).expect("HMAC accepts keys of any length");
             PreparedKey { id: key.id, mac }
         };
-        (!keys.is_empty()).then(|| Keys(keys.into_iter().map(prepare).collect()))
+        (!keys.is_empty()).then(|| KeyRing(keys.into_iter().map(prepare).collect()))
     }
 
     fn mac(key: &PreparedKey, parts: &[&[u8]]) -> Hmac<Sha256> {
@@ -97,7 +97,7 @@
         let key = &self.0[0];
         let mut bytes = Vec::with_capacity(TOKEN_BODY_BYTES + TOKEN_SIGNATURE_BYTES);
         bytes.push(key.id);
-        bytes.extend(token.sess.0.to_be_bytes());
+        bytes.extend(token.session.0.to_be_bytes());
         bytes.extend(token.title.0.to_be_bytes());
         bytes.extend((token.group.0 as u16).to_be_bytes());
         bytes.extend(token.expires.to_be_bytes());
@@ -108,26 +108,26 @@
 
     /// Returns the contents of a token if one of the keys signed it, it is for this title and it has not
     /// expired at `now`, a Unix time in seconds.
-    pub fn verify(&self, text: &str, title: TitleId, now: u64) -> Result<Token, Forged> {
-        let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| Forged::Malformed)?;
+    pub fn verify(&self, text: &str, title: TitleId, now: u64) -> Result<Token, TokenError> {
+        let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| TokenError::Malformed)?;
         if bytes.len() != TOKEN_BODY_BYTES + TOKEN_SIGNATURE_BYTES {
-            return Err(Forged::Malformed);
+            return Err(TokenError::Malformed);
         }
         let (body, signature) = bytes.split_at(TOKEN_BODY_BYTES);
-        let key = self.0.iter().find(|key| key.id == body[0]).ok_or(Forged::Signature)?;
+        let key = self.0.iter().find(|key| key.id == body[0]).ok_or(TokenError::Signature)?;
         let mac = Self::mac(key, &[b"session", body]);
-        mac.verify_truncated_left(signature).map_err(|_| Forged::Signature)?;
+        mac.verify_truncated_left(signature).map_err(|_| TokenError::Signature)?;
         let read_u64 =
             |offset: usize| u64::from_be_bytes(body[offset..offset + 8].try_into().unwrap_or_default());
         let token = Token {
-            sess: SessionId(read_u64(1)),
+            session: SessionId(read_u64(1)),
             title: TitleId(read_u64(9)),
             group: GroupId(usize::from(u16::from_be_bytes([body[17], body[18]]))),
             expires: read_u64(19),
         };
         match token {
-            Token { title: token_title, .. } if token_title != title => Err(Forged::OtherTitle),
-            Token { expires, .. } if expires <= now => Err(Forged::Expired),
+            Token { title: token_title, .. } if token_title != title => Err(TokenError::OtherTitle),
+            Token { expires, .. } if expires <= now => Err(TokenError::Expired),
             token => Ok(token),
         }
     }
@@ -140,12 +140,12 @@
     }
 
     /// Checks that one of the keys signed this path for this session.
-    pub fn verify_path(&self, session: SessionId, path: &str, signature: &str) -> Result<(), Forged> {
-        let signature = URL_SAFE_NO_PAD.decode(signature).map_err(|_| Forged::Path)?;
+    pub fn verify_path(&self, session: SessionId, path: &str, signature: &str) -> Result<(), TokenError> {
+        let signature = URL_SAFE_NO_PAD.decode(signature).map_err(|_| TokenError::Path)?;
         let is_valid = |key: &PreparedKey| {
             let mac = Self::mac(key, &[b"path", &session.0.to_be_bytes(), path.as_bytes()]);
             signature.len() == PATH_SIGNATURE_BYTES && mac.verify_truncated_left(&signature).is_ok()
         };
-        if self.0.iter().any(is_valid) { Ok(()) } else { Err(Forged::Path) }
+        if self.0.iter().any(is_valid) { Ok(()) } else { Err(TokenError::Path) }
     }
 }
--- a/crates/hls/tests/read_back.rs
+++ b/crates/hls/tests/read_back.rs
@@ -1,8 +1,8 @@
 //! Generates playlists from a seed, rewrites them and parses the result with two parsers that share no code
 //! with the rewriter: a grammar of RFC 8216 and `m3u8-rs`.
 
-use ashglade_hls::Ask;
-use ashglade_hls::playlist::{self, Place};
+use ashglade_hls::RequestKind;
+use ashglade_hls::playlist::{self, PlaylistLocation};
 use pest::Parser;
 use url::Url;
 
@@ -10,12 +10,12 @@
 #[grammar = "../tests/rfc8216.pest"]
 struct Rfc8216;
 
-fn place(url: &Url) -> Place<'_> {
-    Place { url, folder: "/renewal/" }
+fn location(url: &Url) -> PlaylistLocation<'_> {
+    PlaylistLocation { url, folder: "/renewal/" }
 }
 
-fn session_uri(ask: Ask, path: &str) -> String {
-    format!("/renewal/T/{ask}/{path}")
+fn session_uri(kind: RequestKind, path: &str) -> String {
+    format!("/renewal/T/{kind}/{path}")
 }
 
 /// Returns the URIs of variants or segments that the grammar found.
@@ -61,8 +61,8 @@
                 _ => format!("http://node:81/renewal/mid/{n}.m4s"),
             };
             expected.push(match n % 3 {
-                1 => session_uri(Ask::Part(Some(1)), &format!("mid/{n}.m4s?q={n}")),
-                _ => session_uri(Ask::Part(Some(1)), &format!("mid/{n}.m4s")),
+                1 => session_uri(RequestKind::Resource(Some(1)), &format!("mid/{n}.m4s?q={n}")),
+                _ => session_uri(RequestKind::Resource(Some(1)), &format!("mid/{n}.m4s")),
             });
             text += &format!("{name}\n");
         }
@@ -72,10 +72,11 @@
         if seed % 3 == 0 {
             text = text.replace('\n', "\r\n");
         }
-        let media =
-            playlist::media(text.as_bytes(), &place(&url), &|path| session_uri(Ask::Part(Some(1)), path))
-                .unwrap();
-        assert_eq!((media.segments, media.ended), (count, seed % 2 == 0), "seed {seed}");
+        let media = playlist::rewrite_media(text.as_bytes(), &location(&url), &|path| {
+            session_uri(RequestKind::Resource(Some(1)), path)
+        })
+        .unwrap();
+        assert_eq!((media.segment_count, media.ended), (count, seed % 2 == 0), "seed {seed}");
         let parsed = Rfc8216::parse(Rule::media, &media.text).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
         assert_eq!(uris(parsed), expected, "seed {seed}");
         let parsed =
@@ -109,13 +110,16 @@
             );
         }
         let max_rate = f64::from(random.rand_range(1..500));
-        let master = playlist::master(text.as_bytes(), &place(&url), max_rate, &session_uri).unwrap();
+        let master =
+            playlist::rewrite_multivariant(text.as_bytes(), &location(&url), max_rate, &session_uri).unwrap();
         let within: Vec<usize> =
             (0..rates.len()).filter(|&n| f64::from(rates[n]) / 8e3 <= max_rate).collect();
         let lowest = (0..rates.len()).min_by_key(|&n| rates[n]).unwrap();
         let offered = if within.is_empty() { vec![lowest] } else { within };
-        let expected: Vec<String> =
-            offered.iter().map(|&n| session_uri(Ask::Media(Some(n)), &format!("v{n}/i.m3u8"))).collect();
+        let expected: Vec<String> = offered
+            .iter()
+            .map(|&n| session_uri(RequestKind::MediaPlaylist(Some(n)), &format!("v{n}/i.m3u8")))
+            .collect();
         let parsed =
             Rfc8216::parse(Rule::master, &master.text).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
         assert_eq!(uris(parsed), expected, "seed {seed}");
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use ashglade_rtsp::messages::{self, Channels};
+use ashglade_rtsp::messages::{self, InterleavedChannels};
 use ashglade_rtsp::{Codec, Packet, Response};
 use ashglade_standin::node::ColdPace;
 use ashglade_standin::{Fleet, Spec};
@@ -54,7 +54,10 @@
             request.insert_header(headers::SESSION, session.as_str());
         }
         if method == Method::Setup {
-            request.insert_header(headers::TRANSPORT, Channels { rtp: 0, rtcp: 1 }.granted(None));
+            request.insert_header(
+                headers::TRANSPORT,
+                InterleavedChannels { rtp: 0, rtcp: 1 }.transport_header(None),
+            );
         }
         self.framed.send(Packet::Request(request)).await.map_err(|e| e.to_string())?;
         loop {
@@ -101,8 +104,10 @@
                         messages::response(StatusCode::Ok, messages::cseq(&request).as_deref());
                     if *request.method() == Method::Setup {
                         response.insert_header(headers::SESSION, "1");
-                        response
-                            .insert_header(headers::TRANSPORT, Channels { rtp: 0, rtcp: 1 }.granted(None));
+                        response.insert_header(
+                            headers::TRANSPORT,
+                            InterleavedChannels { rtp: 0, rtcp: 1 }.transport_header(None),
+                        );
                     }
                     if framed.send(Packet::Response(response)).await.is_err() {
                         return;
--- a/crates/lab/src/measure_hls.rs
+++ b/crates/lab/src/measure_hls.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use ashglade::ids::{GroupId, SessionId, TitleId};
-use ashglade_hls::playlist::{self, Place};
-use ashglade_hls::{Ask, Key, Keys, Token};
+use ashglade_hls::playlist::{self, PlaylistLocation};
+use ashglade_hls::{KeyRing, RequestKind, SigningKey, Token};
 use ashglade_standin::hls_player::{Http, uris};
 use hdrhistogram::Histogram;
 use hyper::StatusCode;
@@ -152,13 +152,13 @@
     }
     text += "#EXT-X-ENDLIST\n";
     let url = Url::parse("http://10.0.0.1/renewal/v1/index.m3u8").map_err(|e| e.to_string())?;
-    let base = Place { url: &url, folder: "/renewal/" };
-    let keys = Keys::new(vec![Key { id: 1, secret: vec![7; 32] }]).ok_or("no key")?;
-    let token = Token { sess: SessionId(1), title: TitleId(1), group: GroupId(0), expires: 1 };
+    let base = PlaylistLocation { url: &url, folder: "/renewal/" };
+    let keys = KeyRing::new(vec![SigningKey { id: 1, secret: vec![7; 32] }]).ok_or("no key")?;
+    let token = Token { session: SessionId(1), title: TitleId(1), group: GroupId(0), expires: 1 };
     let signed = keys.sign(&token);
-    let resource = Ask::Part(Some(1));
+    let resource = RequestKind::Resource(Some(1));
     let sign = |path: &str| {
-        let signature = keys.sign_path(token.sess, &format!("{resource}/{path}"));
+        let signature = keys.sign_path(token.session, &format!("{resource}/{path}"));
         format!("/renewal/{signed}/{resource}-{signature}/{path}")
     };
     let unsigned_path = |path: &str| path.to_string();
@@ -172,10 +172,11 @@
         let copy = black_box(text.clone());
         copy.lines().map(str::len).sum()
     });
-    let unsigned =
-        mean_seconds(&|| playlist::media(text.as_bytes(), &base, &unsigned_path).map_or(0, |m| m.text.len()));
+    let unsigned = mean_seconds(&|| {
+        playlist::rewrite_media(text.as_bytes(), &base, &unsigned_path).map_or(0, |m| m.text.len())
+    });
     let rewritten =
-        mean_seconds(&|| playlist::media(text.as_bytes(), &base, &sign).map_or(0, |m| m.text.len()));
+        mean_seconds(&|| playlist::rewrite_media(text.as_bytes(), &base, &sign).map_or(0, |m| m.text.len()));
     let lines = text.lines().count() as f64;
     let print_rate = |name: &str, elapsed_s: f64| {
         println!(
--- a/crates/rtsp/src/client.rs
+++ b/crates/rtsp/src/client.rs
@@ -7,7 +7,7 @@
 use rtsp_types::headers::{self, HeaderName};
 use rtsp_types::{Method, StatusCode, Url};
 
-use crate::messages::{self, Channels};
+use crate::messages::{self, InterleavedChannels};
 use crate::{Request, Response};
 
 /// The purpose of a request to the node.
@@ -40,18 +40,18 @@
     Ready,
     Playing,
     /// Torn down. The session can't be used again.
-    Over,
+    Ended,
 }
 
 /// The result of a request, derived from its response.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum ResponseOutcome {
     /// The node carried out the request.
-    Done(Purpose),
+    Completed(Purpose),
     /// The node rejected the request, or its response is unusable.
-    Refused(Purpose, StatusCode),
+    Rejected(Purpose, StatusCode),
     /// The response matches no pending request.
-    Stray,
+    Unmatched,
 }
 
 /// Maximum number of pending requests on one connection. A node with more of them has stopped responding.
@@ -64,23 +64,31 @@
     /// URL of the rendition that was set up or last switched to.
     url: Url,
     /// Session identifier assigned by the node.
-    session: Option<String>,
+    session_id: Option<String>,
     /// Seconds after which the node drops an idle session. 60 if the node does not specify it (RFC 2326,
     /// 12.37).
-    timeout: u32,
+    session_timeout_seconds: u32,
     /// CSeq of the last request.
     cseq: u32,
     /// Requests without a response, in order: CSeq, purpose and time of sending in microseconds.
     pending: VecDeque<(u32, Purpose, u64)>,
     /// Tracks that were set up, with their interleaved channels.
-    tracks: Vec<(u8, Channels)>,
+    tracks: Vec<(u8, InterleavedChannels)>,
 }
 
 impl Client {
     /// Creates a client for a rendition's URL, in state [`State::Init`].
     pub fn new(url: Url) -> Client {
-        let (session, pending) = (None, VecDeque::new());
-        Client { state: State::Init, url, session, timeout: 60, cseq: 0, pending, tracks: Vec::new() }
+        let (session_id, pending) = (None, VecDeque::new());
+        Client {
+            state: State::Init,
+            url,
+            session_id,
+            session_timeout_seconds: 60,
+            cseq: 0,
+            pending,
+            tracks: Vec::new(),
+        }
     }
 
     pub fn state(&self) -> State {
@@ -88,8 +96,8 @@
     }
 
     /// Returns the session identifier that the node assigned.
-    pub fn session(&self) -> Option<&str> {
-        self.session.as_deref()
+    pub fn session_id(&self) -> Option<&str> {
+        self.session_id.as_deref()
     }
 
     /// Returns the URL of the current rendition.
@@ -98,12 +106,12 @@
     }
 
     /// Returns the node's session timeout in seconds.
-    pub fn timeout(&self) -> u32 {
-        self.timeout
+    pub fn session_timeout_seconds(&self) -> u32 {
+        self.session_timeout_seconds
     }
 
     /// Returns the track that an interleaved channel belongs to, and whether it carries RTP rather than RTCP.
-    pub fn track_of(&self, channel: u8) -> Option<(u8, bool)> {
+    pub fn track_for_channel(&self, channel: u8) -> Option<(u8, bool)> {
         self.tracks.iter().find_map(|&(track, channels)| match channel {
             n if n == channels.rtp => Some((track, true)),
             n if n == channels.rtcp => Some((track, false)),
@@ -116,7 +124,7 @@
         self.cseq += 1;
         self.pending.push_back((self.cseq, purpose, now_us));
         let mut request = messages::request(method, url, self.cseq);
-        if let Some(session) = &self.session {
+        if let Some(session) = &self.session_id {
             request.insert_header(headers::SESSION, session.as_str());
         }
         request
@@ -127,8 +135,8 @@
         let mut url = self.url.clone();
         url.set_path(&format!("{}/track{}", self.url.path().trim_end_matches('/'), track + 1));
         let mut request = self.new_request(Method::Setup, &url, Purpose::Setup { track }, now_us);
-        let channels = Channels { rtp: track * 2, rtcp: track * 2 + 1 };
-        request.insert_header(headers::TRANSPORT, channels.granted(None));
+        let channels = InterleavedChannels { rtp: track * 2, rtcp: track * 2 + 1 };
+        request.insert_header(headers::TRANSPORT, channels.transport_header(None));
         request
     }
 
@@ -151,10 +159,10 @@
     /// Builds a switch from rung `from` to the rendition at `to` within the session (stream switch of 3GPP TS
     /// 26.234), which needs no second SETUP.
     pub fn switch(&mut self, from: u8, to: Url, now_us: u64) -> Request {
-        let value = messages::switch_value(&self.url, &to);
+        let value = messages::format_switch_stream(&self.url, &to);
         let url = self.url.clone();
         let mut request = self.new_request(Method::Play, &url, Purpose::Switch { from }, now_us);
-        request.insert_header(messages::switch_stream(), value);
+        request.insert_header(messages::switch_stream_header(), value);
         self.url = to;
         request
     }
@@ -178,12 +186,12 @@
     /// Matches a response to its request, updates the state and returns the result. Responses arrive in
     /// order, so the node skipped all requests before the matched one. Skipped requests that the viewer waits
     /// for remain pending until they are overdue; otherwise the viewer would wait forever.
-    pub fn answered(&mut self, response: &Response) -> Answer {
+    pub fn handle_response(&mut self, response: &Response) -> ResponseOutcome {
         let cseq = messages::header(response, &headers::CSEQ).and_then(|cseq| cseq.parse::<u32>().ok());
         let Some(matched) = self.pending.iter().position(|(sent, ..)| Some(*sent) == cseq) else {
-            return Answer::Stray;
+            return ResponseOutcome::Unmatched;
         };
-        let Some((_, purpose, _)) = self.pending.remove(matched) else { return Answer::Stray };
+        let Some((_, purpose, _)) = self.pending.remove(matched) else { return ResponseOutcome::Unmatched };
         let mut position = 0;
         self.pending.retain(|(_, purpose, _)| {
             position += 1;
@@ -192,10 +200,10 @@
         if response.status() != StatusCode::Ok {
             // A TEARDOWN of a session that the node doesn't know has reached its goal.
             if purpose == Purpose::Teardown && response.status() == StatusCode::SessionNotFound {
-                self.state = State::Over;
-                return Answer::Done(purpose);
+                self.state = State::Ended;
+                return ResponseOutcome::Completed(purpose);
             }
-            return Answer::Refused(purpose, response.status());
+            return ResponseOutcome::Rejected(purpose, response.status());
         }
         match purpose {
             Purpose::Setup { track } => {
@@ -203,30 +211,32 @@
                 let session = header(&headers::SESSION);
                 // A 200 response without a session identifier, or with a different one, is an error.
                 let id = session.map(messages::session_id).filter(|id| !id.is_empty());
-                let current = self.session.as_deref();
+                let current = self.session_id.as_deref();
                 let Some(id) = id.filter(|id| current.is_none_or(|current| current == *id)) else {
-                    return Answer::Refused(purpose, StatusCode::BadGateway);
+                    return ResponseOutcome::Rejected(purpose, StatusCode::BadGateway);
                 };
                 let timeout =
                     session.and_then(|s| s.split(';').find_map(|p| p.trim().strip_prefix("timeout=")));
-                self.timeout = timeout.and_then(|t| t.parse().ok()).unwrap_or(self.timeout);
-                self.session = Some(id.to_string());
-                let requested = Channels { rtp: track * 2, rtcp: track * 2 + 1 };
-                let assigned = header(&headers::TRANSPORT).and_then(|t| messages::interleaved(t, requested));
+                self.session_timeout_seconds =
+                    timeout.and_then(|t| t.parse().ok()).unwrap_or(self.session_timeout_seconds);
+                self.session_id = Some(id.to_string());
+                let requested = InterleavedChannels { rtp: track * 2, rtcp: track * 2 + 1 };
+                let assigned =
+                    header(&headers::TRANSPORT).and_then(|t| messages::parse_transport(t, requested));
                 self.tracks.push((track, assigned.unwrap_or(requested)));
                 self.state = State::Ready;
             }
             Purpose::Play => self.state = State::Playing,
             Purpose::Pause => self.state = State::Ready,
-            Purpose::Teardown => self.state = State::Over,
+            Purpose::Teardown => self.state = State::Ended,
             Purpose::Switch { .. } | Purpose::KeepAlive => {}
         }
-        Answer::Done(purpose)
+        ResponseOutcome::Completed(purpose)
     }
 
     /// Returns whether a request that the viewer waits for has been pending for longer than `timeout_us`
     /// microseconds.
-    pub fn overdue(&self, now_us: u64, timeout_us: u64) -> bool {
+    pub fn has_overdue_request(&self, now_us: u64, timeout_us: u64) -> bool {
         self.pending.iter().any(|&(_, purpose, sent_us)| {
             purpose.is_viewer_waiting() && now_us.saturating_sub(sent_us) > timeout_us
         })
--- a/crates/rtsp/src/codec.rs
+++ b/crates/rtsp/src/codec.rs
@@ -12,17 +12,22 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Length of the request line or status line.
-    pub line: usize,
+    pub max_line_bytes: usize,
     /// Total length of the first line and all headers.
-    pub head: usize,
-    pub body: usize,
+    pub max_head_bytes: usize,
+    pub max_body_bytes: usize,
     /// Payload of an interleaved frame. The format allows up to 65,535.
-    pub frame: usize,
+    pub max_frame_bytes: usize,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { line: 2 * 1024, head: 16 * 1024, body: 64 * 1024, frame: 65_535 }
+        Limits {
+            max_line_bytes: 2 * 1024,
+            max_head_bytes: 16 * 1024,
+            max_body_bytes: 64 * 1024,
+            max_frame_bytes: 65_535,
+        }
     }
 }
 
@@ -36,16 +41,17 @@
         channel: u8,
         payload: BytesMut,
     },
-    /// An interleaved frame with its four header bytes, from a codec that was created by [`Codec::relaying`].
-    Raw(BytesMut),
+    /// An interleaved frame with its four header bytes, from a codec that was created by
+    /// [`Codec::with_raw_frames`].
+    RawFrame(BytesMut),
 }
 
 /// Length of the header of an interleaved frame, in bytes. Its second byte is the channel.
-pub const FRAME_HEADER: usize = 4;
+pub const FRAME_HEADER_BYTES: usize = 4;
 
 /// An error after which a connection can't be decoded any further. Other connections are not affected.
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum CodecError {
     #[error("request or status line exceeds {limit} bytes")]
     LineTooLong { limit: usize },
     #[error("headers exceed {limit} bytes")]
@@ -59,23 +65,23 @@
     #[error("{what}, at byte {at} of the message")]
     Malformed { what: &'static str, at: usize },
     #[error("connection closed inside a message, after {received_bytes} bytes of it")]
-    CutShort { received_bytes: usize },
+    Truncated { received_bytes: usize },
     #[error(transparent)]
     Io(#[from] std::io::Error),
 }
 
-impl Fault {
+impl CodecError {
     /// Returns the status to respond with before the connection is closed, or `None` where the error does not
     /// concern a request that the peer awaits a response to.
     pub fn status(&self) -> Option<StatusCode> {
         match self {
-            Fault::LineTooLong { .. } => Some(StatusCode::RequestURITooLong),
-            Fault::HeadTooLong { .. } | Fault::BodyTooLong { .. } => {
+            CodecError::LineTooLong { .. } => Some(StatusCode::RequestURITooLong),
+            CodecError::HeadTooLong { .. } | CodecError::BodyTooLong { .. } => {
                 Some(StatusCode::RequestMessageBodyTooLarge)
             }
-            Fault::Version { .. } => Some(StatusCode::RTSPVersionNotSupported),
-            Fault::Malformed { .. } => Some(StatusCode::BadRequest),
-            Fault::FrameTooLong { .. } | Fault::CutShort { .. } | Fault::Io(_) => None,
+            CodecError::Version { .. } => Some(StatusCode::RTSPVersionNotSupported),
+            CodecError::Malformed { .. } => Some(StatusCode::BadRequest),
+            CodecError::FrameTooLong { .. } | CodecError::Truncated { .. } | CodecError::Io(_) => None,
         }
     }
 }
@@ -91,7 +97,7 @@
     message_length: Option<usize>,
     /// Set by the first error; no input is decoded after it.
     failed: bool,
-    /// Frames are returned as [`Packet::Raw`].
+    /// Frames are returned as [`Packet::RawFrame`].
     raw_frames: bool,
 }
 
@@ -100,56 +106,56 @@
         Codec { limits, ..Codec::default() }
     }
 
-    /// Creates a codec that returns frames with their headers, as [`Packet::Raw`]. Consecutive frames stay
-    /// contiguous in memory, so that a relay can forward them together without a copy.
-    pub fn relaying() -> Codec {
+    /// Creates a codec that returns frames with their headers, as [`Packet::RawFrame`]. Consecutive frames
+    /// stay contiguous in memory, so that a relay can forward them together without a copy.
+    pub fn with_raw_frames() -> Codec {
         Codec { raw_frames: true, ..Codec::default() }
     }
 
-    fn decode_frame(&self, src: &mut BytesMut) -> Result<Option<Packet>, Fault> {
+    fn decode_frame(&self, src: &mut BytesMut) -> Result<Option<Packet>, CodecError> {
         if src.len() < 4 {
             return Ok(None);
         }
         let (channel, length) = (src[1], usize::from(u16::from_be_bytes([src[2], src[3]])));
-        if length > self.limits.frame {
-            return Err(Fault::FrameTooLong { channel, length, limit: self.limits.frame });
+        if length > self.limits.max_frame_bytes {
+            return Err(CodecError::FrameTooLong { channel, length, limit: self.limits.max_frame_bytes });
         }
         if src.len() < 4 + length {
             src.reserve(4 + length - src.len());
             return Ok(None);
         }
         if self.raw_frames {
-            return Ok(Some(Packet::Raw(src.split_to(FRAME_HEADER + length))));
+            return Ok(Some(Packet::RawFrame(src.split_to(FRAME_HEADER_BYTES + length))));
         }
-        src.advance(FRAME_HEADER);
+        src.advance(FRAME_HEADER_BYTES);
         Ok(Some(Packet::Frame { channel, payload: src.split_to(length) }))
     }
 
     /// Returns the total length of headers and body once all headers are buffered.
-    fn measure_message(&mut self, src: &BytesMut) -> Result<Option<usize>, Fault> {
+    fn measure_message(&mut self, src: &BytesMut) -> Result<Option<usize>, CodecError> {
         let from = self.searched_bytes.saturating_sub(3);
         let end = src[from..].windows(4).position(|four| four == b"\r\n\r\n").map(|at| from + at + 4);
         self.searched_bytes = src.len();
-        let head = &src[..end.unwrap_or(src.len()).min(self.limits.head + 1)];
+        let head = &src[..end.unwrap_or(src.len()).min(self.limits.max_head_bytes + 1)];
         let line = head.windows(2).position(|two| two == b"\r\n");
-        if line.unwrap_or(head.len()) > self.limits.line {
-            return Err(Fault::LineTooLong { limit: self.limits.line });
+        if line.unwrap_or(head.len()) > self.limits.max_line_bytes {
+            return Err(CodecError::LineTooLong { limit: self.limits.max_line_bytes });
         }
         if let Some(line) = line {
             check_version(&head[..line])?;
         }
-        if head.len() > self.limits.head {
-            return Err(Fault::HeadTooLong { limit: self.limits.head });
+        if head.len() > self.limits.max_head_bytes {
+            return Err(CodecError::HeadTooLong { limit: self.limits.max_head_bytes });
         }
         let Some(end) = end else { return Ok(None) };
         let length = parse_content_length(&src[..end])?;
-        if length > self.limits.body as u64 {
-            return Err(Fault::BodyTooLong { length, limit: self.limits.body });
+        if length > self.limits.max_body_bytes as u64 {
+            return Err(CodecError::BodyTooLong { length, limit: self.limits.max_body_bytes });
         }
         Ok(Some(end + length as usize))
     }
 
-    fn decode_message(&mut self, src: &mut BytesMut) -> Result<Option<Packet>, Fault> {
+    fn decode_message(&mut self, src: &mut BytesMut) -> Result<Option<Packet>, CodecError> {
         if self.message_length.is_none() {
             self.message_length = self.measure_message(src)?;
         }
@@ -161,35 +167,37 @@
         (self.message_length, self.searched_bytes) = (None, 0);
         let bytes = src.split_to(message_length);
         let (message, consumed) = Message::<Vec<u8>>::parse(&bytes[..])
-            .map_err(|_| Fault::Malformed { what: "not a valid RTSP request or response", at: 0 })?;
+            .map_err(|_| CodecError::Malformed { what: "not a valid RTSP request or response", at: 0 })?;
         if consumed != message_length {
-            return Err(Fault::Malformed { what: "unexpected bytes after the body", at: consumed });
+            return Err(CodecError::Malformed { what: "unexpected bytes after the body", at: consumed });
         }
         match message {
             Message::Request(request) => Ok(Some(Packet::Request(request))),
             Message::Response(response) => Ok(Some(Packet::Response(response))),
-            Message::Data(_) => Err(Fault::Malformed { what: "interleaved frame inside a message", at: 0 }),
+            Message::Data(_) => {
+                Err(CodecError::Malformed { what: "interleaved frame inside a message", at: 0 })
+            }
         }
     }
 }
 
 /// Checks that the first line has the shape of a request line or status line and names version 1.0.
-fn check_version(line: &[u8]) -> Result<(), Fault> {
+fn check_version(line: &[u8]) -> Result<(), CodecError> {
     let words: Vec<&[u8]> = line.split(|&b| b == b' ').collect();
     let version = match words.as_slice() {
         [first, ..] if first.starts_with(b"RTSP/") => first,
         [_, _, last] if last.starts_with(b"RTSP/") => last,
-        _ => return Err(Fault::Malformed { what: "not an RTSP request line or status line", at: 0 }),
+        _ => return Err(CodecError::Malformed { what: "not an RTSP request line or status line", at: 0 }),
     };
     if *version == b"RTSP/1.0" {
         return Ok(());
     }
-    Err(Fault::Version { found: String::from_utf8_lossy(version).into_owned() })
+    Err(CodecError::Version { found: String::from_utf8_lossy(version).into_owned() })
 }
 
 /// Returns the value of `Content-Length`, or 0 if the header is missing. Rejects repeated headers whose
 /// values differ.
-fn parse_content_length(head: &[u8]) -> Result<u64, Fault> {
+fn parse_content_length(head: &[u8]) -> Result<u64, CodecError> {
     let mut length = None;
     let mut at = 0;
     for line in head.split(|&b| b == b'\n') {
@@ -197,13 +205,14 @@
             && line[..colon].trim_ascii().eq_ignore_ascii_case(b"content-length")
         {
             let digits = line[colon + 1..].trim_ascii();
-            let invalid = Fault::Malformed { what: "Content-Length is not a number", at: at + colon + 1 };
+            let invalid =
+                CodecError::Malformed { what: "Content-Length is not a number", at: at + colon + 1 };
             if digits.is_empty() || digits.len() > 18 || !digits.iter().all(u8::is_ascii_digit) {
                 return Err(invalid);
             }
             let value = digits.iter().fold(0, |sum, &d| sum * 10 + u64::from(d - b'0'));
             if length.is_some_and(|previous| previous != value) {
-                return Err(Fault::Malformed { what: "conflicting Content-Length headers", at });
+                return Err(CodecError::Malformed { what: "conflicting Content-Length headers", at });
             }
             length = Some(value);
         }
@@ -214,9 +223,9 @@
 
 impl Decoder for Codec {
     type Item = Packet;
-    type Error = Fault;
+    type Error = CodecError;
 
-    fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Packet>, Fault> {
+    fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Packet>, CodecError> {
         if self.failed {
             src.clear();
             return Ok(None);
@@ -234,33 +243,34 @@
         decoded
     }
 
-    fn decode_eof(&mut self, src: &mut BytesMut) -> Result<Option<Packet>, Fault> {
+    fn decode_eof(&mut self, src: &mut BytesMut) -> Result<Option<Packet>, CodecError> {
         match self.decode(src)? {
-            None if !src.is_empty() => Err(Fault::CutShort { received_bytes: src.len() }),
+            None if !src.is_empty() => Err(CodecError::Truncated { received_bytes: src.len() }),
             packet => Ok(packet),
         }
     }
 }
 
 impl Encoder<Packet> for Codec {
-    type Error = Fault;
+    type Error = CodecError;
 
-    fn encode(&mut self, packet: Packet, dst: &mut BytesMut) -> Result<(), Fault> {
-        let write_error = |_| Fault::Malformed { what: "message can't be serialized", at: 0 };
+    fn encode(&mut self, packet: Packet, dst: &mut BytesMut) -> Result<(), CodecError> {
+        let write_error = |_| CodecError::Malformed { what: "message can't be serialized", at: 0 };
         match packet {
             Packet::Request(request) => request.write(&mut dst.writer()).map_err(write_error),
             Packet::Response(response) => response.write(&mut dst.writer()).map_err(write_error),
-            Packet::Raw(bytes) => {
+            Packet::RawFrame(bytes) => {
                 dst.extend_from_slice(&bytes);
                 Ok(())
             }
             Packet::Frame { channel, payload } => {
-                let length =
-                    u16::try_from(payload.len()).ok().filter(|&l| usize::from(l) <= self.limits.frame);
-                let length = length.ok_or(Fault::FrameTooLong {
+                let length = u16::try_from(payload.len())
+                    .ok()
+                    .filter(|&l| usize::from(l) <= self.limits.max_frame_bytes);
+                let length = length.ok_or(CodecError::FrameTooLong {
                     channel,
                     length: payload.len(),
-                    limit: self.limits.frame,
+                    limit: self.limits.max_frame_bytes,
                 })?;
                 dst.reserve(4 + payload.len());
                 dst.put_slice(&[b'$', channel]);
--- a/crates/rtsp/src/digest.rs
+++ b/crates/rtsp/src/digest.rs
@@ -7,7 +7,7 @@
 
 /// The realm and the users that may connect.
 #[derive(Clone, Debug, Default)]
-pub struct Users {
+pub struct Credentials {
     pub realm: String,
     /// Pairs of user name and password.
     pub users: Vec<(String, String)>,
@@ -40,7 +40,7 @@
     Some(parameters)
 }
 
-impl Users {
+impl Credentials {
     /// Returns the value of `WWW-Authenticate` for a 401 response.
     pub fn challenge(&self, nonce: &str) -> String {
         format!("Digest realm=\"{}\", nonce=\"{nonce}\", algorithm=MD5, qop=\"auth\"", self.realm)
@@ -48,7 +48,7 @@
 
     /// Returns whether an `Authorization` header is a valid response to the challenge with this nonce, for a
     /// request with this method.
-    pub fn admits(&self, header: &str, nonce: &str, method: &Method) -> bool {
+    pub fn verify(&self, header: &str, nonce: &str, method: &Method) -> bool {
         let Some(parameters) = parse_parameters(header) else { return false };
         let get = |name: &str| parameters.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|&(_, v)| v);
         let (Some(user), Some(uri), Some(response)) = (get("username"), get("uri"), get("response")) else {
@@ -59,7 +59,7 @@
         }
         let Some((_, password)) = self.users.iter().find(|(name, _)| name == user) else { return false };
         let qop = get("qop").map(|qop| (qop, get("nc").unwrap_or(""), get("cnonce").unwrap_or("")));
-        let expected = answer(&self.realm, user, password, nonce, method, uri, qop);
+        let expected = response_digest(&self.realm, user, password, nonce, method, uri, qop);
         // Constant-time comparison: all bytes are compared, regardless of the first difference.
         expected.len() == response.len()
             && expected.bytes().zip(response.bytes()).fold(0, |difference, (a, b)| difference | (a ^ b)) == 0
@@ -68,7 +68,7 @@
 
 /// Computes the `response` parameter of a client's `Authorization` header (RFC 2617, 3.2.2.1). `qop` holds
 /// the values of qop, nc and cnonce if the client sends them.
-pub fn answer(
+pub fn response_digest(
     realm: &str,
     user: &str,
     password: &str,
--- a/crates/rtsp/src/lib.rs
+++ b/crates/rtsp/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod rtcp;
 pub mod server;
 
-pub use codec::{Codec, Fault, Limits, Packet};
+pub use codec::{Codec, CodecError, Limits, Packet};
 
 /// An RTSP request with its body.
 pub type Request = rtsp_types::Request<Vec<u8>>;
--- a/crates/rtsp/src/load.rs
+++ b/crates/rtsp/src/load.rs
@@ -6,7 +6,7 @@
 
 /// The load of a media node. Each value is a fraction of the respective capacity and may exceed 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct NodeLoad {
     /// Demand on the node's link, divided by the link's capacity.
     pub link: Option<f64>,
     /// Demand on the uplink of the node's rack, divided by the uplink's capacity.
@@ -16,15 +16,15 @@
 }
 
 /// Returns the name of the header that carries a load report.
-pub fn header() -> HeaderName {
+pub fn header_name() -> HeaderName {
     HeaderName::from_static_str("X-Load").expect("a well-formed name")
 }
 
-impl Load {
+impl NodeLoad {
     /// Parses `name: value` or `name=value` pairs separated by line ends or commas. Unknown names and values
     /// that are not finite numbers of at least 0 are ignored, as a node may report more than is used here.
-    pub fn read(text: &str) -> Load {
-        let mut load = Load::default();
+    pub fn parse(text: &str) -> NodeLoad {
+        let mut load = NodeLoad::default();
         for pair in text.split(['\n', ',']) {
             let Some((name, value)) = pair.split_once([':', '=']) else { continue };
             let Some(value) = value.trim().parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0) else {
@@ -46,12 +46,12 @@
     }
 
     /// Returns the report as a `text/parameters` body.
-    pub fn body(&self) -> String {
+    pub fn to_parameters(&self) -> String {
         self.reported_values().map(|(name, value)| format!("{name}: {value:.4}\r\n")).collect()
     }
 
     /// Returns the report as the value of `X-Load`.
-    pub fn line(&self) -> String {
+    pub fn to_header_value(&self) -> String {
         self.reported_values()
             .map(|(name, value)| format!("{name}={value:.4}"))
             .collect::<Vec<_>>()
--- a/crates/rtsp/src/messages.rs
+++ b/crates/rtsp/src/messages.rs
@@ -3,7 +3,7 @@
 use rtsp_types::headers::{self, HeaderName};
 use rtsp_types::{Method, StatusCode, Url, Version};
 
-use crate::load::{self, Load};
+use crate::load::{self, NodeLoad};
 use crate::{Request, Response};
 
 /// Builds a request without a body.
@@ -40,50 +40,50 @@
 }
 
 /// Returns the load that a response reports, in the `X-Load` header or in a `text/parameters` body.
-pub fn load_of(response: &Response) -> Option<Load> {
-    if let Some(line) = header(response, &load::header()) {
-        return Some(Load::read(line));
+pub fn load_report(response: &Response) -> Option<NodeLoad> {
+    if let Some(line) = header(response, &load::header_name()) {
+        return Some(NodeLoad::parse(line));
     }
     let has_parameters = header(response, &headers::CONTENT_TYPE)?.eq_ignore_ascii_case("text/parameters");
-    has_parameters.then(|| Load::read(&String::from_utf8_lossy(response.body())))
+    has_parameters.then(|| NodeLoad::parse(&String::from_utf8_lossy(response.body())))
 }
 
 /// Sets `Retry-After` to the delay rounded up to whole seconds, at least 1.
-pub fn retry_after(response: &mut Response, seconds: f64) {
+pub fn set_retry_after(response: &mut Response, seconds: f64) {
     response.insert_header(headers::RETRY_AFTER, format!("{:.0}", seconds.ceil().max(1.0)));
 }
 
 /// Returns the name of the header that requests a stream switch (3GPP TS 26.234), sent with PLAY.
-pub fn switch_stream() -> HeaderName {
+pub fn switch_stream_header() -> HeaderName {
     HeaderName::from_static_str("Switch-Stream").expect("a well-formed name")
 }
 
 /// Returns the value of `Switch-Stream` for a change from one rendition to another.
-pub fn switch_value(old: &Url, new: &Url) -> String {
+pub fn format_switch_stream(old: &Url, new: &Url) -> String {
     format!("old=\"{old}\";new=\"{new}\"")
 }
 
 /// Returns the URL of the new rendition in a `Switch-Stream` value.
-pub fn switched_to(value: &str) -> Option<Url> {
+pub fn parse_switch_stream(value: &str) -> Option<Url> {
     let new = value.split(';').find_map(|part| part.trim().strip_prefix("new="))?;
     Url::parse(new.trim().trim_matches('"')).ok()
 }
 
 /// The pair of interleaved channels that a `Transport` header requests or assigns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Channels {
+pub struct InterleavedChannels {
     pub rtp: u8,
     pub rtcp: u8,
 }
 
-impl Channels {
+impl InterleavedChannels {
     /// Returns whether the two pairs have a channel in common.
-    pub fn overlaps(&self, other: &Channels) -> bool {
+    pub fn overlaps(&self, other: &InterleavedChannels) -> bool {
         [self.rtp, self.rtcp].iter().any(|c| [other.rtp, other.rtcp].contains(c))
     }
 
     /// Returns the value of a `Transport` header with these channels and, if given, the SSRC of the stream.
-    pub fn granted(self, ssrc: Option<u32>) -> String {
+    pub fn transport_header(self, ssrc: Option<u32>) -> String {
         let ssrc = ssrc.map(|ssrc| format!(";ssrc={ssrc:08X}")).unwrap_or_default();
         format!("RTP/AVP/TCP;unicast;interleaved={}-{}{ssrc}", self.rtp, self.rtcp)
     }
@@ -92,7 +92,7 @@
 /// Returns the channels of the first transport in a `Transport` header that is unicast RTP interleaved on the
 /// RTSP connection. The header lists transports in order of preference (RFC 2326, 12.39). `default` is used
 /// where the transport names no channels.
-pub fn interleaved(transport: &str, default: Channels) -> Option<Channels> {
+pub fn parse_transport(transport: &str, default: InterleavedChannels) -> Option<InterleavedChannels> {
     transport.split(',').find_map(|alternative| {
         let mut parameters = alternative.split(';').map(str::trim);
         let spec = parameters.next()?;
--- a/crates/rtsp/src/presentation.rs
+++ b/crates/rtsp/src/presentation.rs
@@ -10,10 +10,10 @@
 
 /// A parsed viewer URL: `rtsp://host/TITLE[/trackN][?group=NAME&top=RUNG&...]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Asked {
+pub struct PresentationUrl {
     pub title: String,
     /// The presentation's URL without track and query.
-    pub base: String,
+    pub base_url: String,
     /// The query as received.
     pub query: String,
     /// The track, counted from 0, or `None` for the whole presentation.
@@ -21,15 +21,15 @@
     /// Name of the service group.
     pub group: Option<String>,
     /// Highest rung that the viewer can use, counted from 0.
-    pub top: Option<u8>,
+    pub top_rung: Option<u8>,
     /// All other elements of the query, forwarded to the node unchanged.
-    pub rest: String,
+    pub forwarded_query: String,
 }
 
-impl Asked {
+impl PresentationUrl {
     /// Parses a URL. Returns `None` if its path is not a title with an optional track. An element `top` that
     /// is not a number is forwarded to the node and otherwise ignored.
-    pub fn read(url: &Url) -> Option<Asked> {
+    pub fn parse(url: &Url) -> Option<PresentationUrl> {
         let mut parts = url.path().split('/').filter(|part| !part.is_empty());
         let title = parts.next()?.to_string();
         let track = match (parts.next(), parts.next()) {
@@ -38,18 +38,26 @@
             _ => return None,
         };
         let port = url.port().map(|port| format!(":{port}")).unwrap_or_default();
-        let base = format!("rtsp://{}{port}/{title}", url.host_str().unwrap_or_default());
+        let base_url = format!("rtsp://{}{port}/{title}", url.host_str().unwrap_or_default());
         let query = url.query().unwrap_or_default().to_string();
-        let mut parsed = Asked { title, base, query, track, group: None, top: None, rest: String::new() };
+        let mut parsed = PresentationUrl {
+            title,
+            base_url,
+            query,
+            track,
+            group: None,
+            top_rung: None,
+            forwarded_query: String::new(),
+        };
         for pair in url.query().unwrap_or_default().split('&').filter(|pair| !pair.is_empty()) {
             let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
             match (name, value.parse::<u8>()) {
                 ("group", _) => parsed.group = Some(value.to_string()),
-                ("top", Ok(top)) => parsed.top = Some(top),
+                ("top", Ok(top)) => parsed.top_rung = Some(top),
                 _ => {
-                    let separator = if parsed.rest.is_empty() { "" } else { "&" };
-                    parsed.rest += separator;
-                    parsed.rest += pair;
+                    let separator = if parsed.forwarded_query.is_empty() { "" } else { "&" };
+                    parsed.forwarded_query += separator;
+                    parsed.forwarded_query += pair;
                 }
             }
         }
@@ -57,40 +65,44 @@
     }
 
     /// Returns the value of an element of the query, as received.
-    pub fn element(&self, name: &str) -> Option<&str> {
+    pub fn query_value(&self, name: &str) -> Option<&str> {
         self.query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
     }
 
     /// Returns the URL of a track as the viewer addresses it.
     pub fn track_url(&self, track: u8) -> String {
         let query = if self.query.is_empty() { String::new() } else { format!("?{}", self.query) };
-        format!("{}/{}{query}", self.base, control_name(track))
+        format!("{}/{}{query}", self.base_url, control_name(track))
     }
 
     /// Returns the URL of a rendition of this title at a node: `rtsp://node/TITLE/rN[?...]`.
-    pub fn rendition(&self, node: std::net::SocketAddr, rung: u8) -> Option<Url> {
-        let query = if self.rest.is_empty() { String::new() } else { format!("?{}", self.rest) };
+    pub fn rendition_url(&self, node: std::net::SocketAddr, rung: u8) -> Option<Url> {
+        let query = if self.forwarded_query.is_empty() {
+            String::new()
+        } else {
+            format!("?{}", self.forwarded_query)
+        };
         Url::parse(&format!("rtsp://{node}/{}/r{rung}{query}", self.title)).ok()
     }
 }
 
 /// The start of a track's stream as given by an entry of `RTP-Info` (RFC 2326, 12.33).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Begins {
+pub struct TrackStart {
     pub track: u8,
     pub seq: Option<u16>,
     pub rtptime: Option<u32>,
 }
 
 /// Parses the `RTP-Info` header of a node. Entries whose URL does not name a track are ignored.
-pub fn rtp_info(value: &str) -> Vec<Begins> {
+pub fn parse_rtp_info(value: &str) -> Vec<TrackStart> {
     let entry = |text: &str| {
         let parameter =
             |name: &str| text.split(';').find_map(|p| p.trim().strip_prefix(name)?.strip_prefix('='));
         let path = parameter("url")?.split('?').next()?;
         let track = path.rsplit('/').next()?.strip_prefix("track")?.parse::<u8>().ok()?.checked_sub(1)?;
         let (seq, rtptime) = (parameter("seq"), parameter("rtptime"));
-        Some(Begins {
+        Some(TrackStart {
             track,
             seq: seq.and_then(|n| n.parse().ok()),
             rtptime: rtptime.and_then(|n| n.parse().ok()),
@@ -100,8 +112,8 @@
 }
 
 /// Formats an `RTP-Info` header. `url` returns the URL of a track as the receiver addresses it.
-pub fn write_rtp_info(starts: impl Iterator<Item = Begins>, url: impl Fn(u8) -> String) -> String {
-    let entry = |start: Begins| {
+pub fn format_rtp_info(starts: impl Iterator<Item = TrackStart>, url: impl Fn(u8) -> String) -> String {
+    let entry = |start: TrackStart| {
         let seq = start.seq.map(|n| format!(";seq={n}")).unwrap_or_default();
         let rtptime = start.rtptime.map(|n| format!(";rtptime={n}")).unwrap_or_default();
         format!("url={}{seq}{rtptime}", url(start.track))
@@ -109,15 +121,15 @@
     starts.map(entry).collect::<Vec<_>>().join(",")
 }
 
-/// Returns the rung in a rendition's URL as formatted by [`Asked::rendition`].
-pub fn rung_of(url: &Url) -> Option<u8> {
+/// Returns the rung in a rendition's URL as formatted by [`PresentationUrl::rendition_url`].
+pub fn rung_from_url(url: &Url) -> Option<u8> {
     url.path().rsplit('/').find_map(|part| part.strip_prefix('r')?.parse().ok())
 }
 
 /// Returns the SDP description of a presentation: video and, if there is a second clock rate, audio. Each
 /// control URL carries the query, so that a player's SETUP requests have the same query as its DESCRIBE
 /// request.
-pub fn describe(title: &str, query: &str, clock_rates: impl Iterator<Item = u32>) -> Vec<u8> {
+pub fn describe_sdp(title: &str, query: &str, clock_rates: impl Iterator<Item = u32>) -> Vec<u8> {
     let query = if query.is_empty() { String::new() } else { format!("?{query}") };
     let attribute =
         |name: &str, value: String| sdp_types::Attribute { attribute: name.to_string(), value: Some(value) };
--- a/crates/rtsp/src/rewrite.rs
+++ b/crates/rtsp/src/rewrite.rs
@@ -2,16 +2,16 @@
 //! and timestamps that advance with the elapsed time (RFC 3550, 5.1). A change of rendition or node may bring
 //! another SSRC, another initial sequence number and another timestamp offset.
 //!
-//! [`Meter`] derives from the same headers how much of the node's stream arrived.
+//! [`DeliveryMeter`] derives from the same headers how much of the node's stream arrived.
 
-use crate::rtcp::{self, Sent};
+use crate::rtcp::{self, SenderMapping};
 
 /// Length of the fixed RTP header, in bytes.
-pub const RTP_HEADER: usize = 12;
+pub const RTP_HEADER_BYTES: usize = 12;
 
 /// Returns sequence number, timestamp and SSRC of an RTP packet, or `None` if it is not RTP version 2.
 fn parse_header(packet: &[u8]) -> Option<(u16, u32, u32)> {
-    if packet.len() < RTP_HEADER || packet[0] >> 6 != 2 {
+    if packet.len() < RTP_HEADER_BYTES || packet[0] >> 6 != 2 {
         return None;
     }
     let word = |at: usize| u32::from_be_bytes([packet[at], packet[at + 1], packet[at + 2], packet[at + 3]]);
@@ -20,7 +20,7 @@
 
 /// Rewrites the RTP and RTCP of one track.
 #[derive(Debug)]
-pub struct Rewriter {
+pub struct RtpRewriter {
     /// SSRC of the stream to the viewer.
     ssrc: u32,
     /// RTP ticks per second.
@@ -40,10 +40,10 @@
     octets: u32,
 }
 
-impl Rewriter {
+impl RtpRewriter {
     /// Creates a rewriter. `ssrc` is the SSRC announced to the viewer; `clock_rate` is in ticks per second.
-    pub fn new(ssrc: u32, clock_rate: u32) -> Rewriter {
-        Rewriter {
+    pub fn new(ssrc: u32, clock_rate: u32) -> RtpRewriter {
+        RtpRewriter {
             ssrc,
             clock_rate,
             source: None,
@@ -61,13 +61,13 @@
     }
 
     /// Maps a sequence number and a timestamp of the node's current stream to those of the viewer's stream.
-    pub fn seen(&self, seq: u16, timestamp: u32) -> (u16, u32) {
+    pub fn map_position(&self, seq: u16, timestamp: u32) -> (u16, u32) {
         (seq.wrapping_add(self.seq_offset), timestamp.wrapping_add(self.timestamp_offset))
     }
 
     /// Rewrites an RTP packet in place. Returns false if it is not RTP and must be dropped. `now_us` is the
     /// current time in microseconds.
-    pub fn rtp(&mut self, packet: &mut [u8], now_us: u64) -> bool {
+    pub fn rewrite_rtp(&mut self, packet: &mut [u8], now_us: u64) -> bool {
         let Some((seq, timestamp, source)) = parse_header(packet) else { return false };
         if self.source != Some(source) {
             if let Some((last_seq, last_timestamp, last_us)) = self.last {
@@ -88,7 +88,7 @@
             self.last = Some((seq, timestamp, now_us));
         }
         self.packets = self.packets.wrapping_add(1);
-        self.octets = self.octets.wrapping_add((packet.len() - RTP_HEADER) as u32);
+        self.octets = self.octets.wrapping_add((packet.len() - RTP_HEADER_BYTES) as u32);
         packet[2..4].copy_from_slice(&seq.to_be_bytes());
         packet[4..8].copy_from_slice(&timestamp.to_be_bytes());
         packet[8..12].copy_from_slice(&self.ssrc.to_be_bytes());
@@ -96,9 +96,9 @@
     }
 
     /// Rewrites a compound RTCP packet of the current source in place. Returns false if it must be dropped.
-    pub fn rtcp(&self, packet: &mut [u8]) -> bool {
+    pub fn rewrite_rtcp(&self, packet: &mut [u8]) -> bool {
         let Some(source) = self.source else { return false };
-        let mapping = Sent {
+        let mapping = SenderMapping {
             source,
             ssrc: self.ssrc,
             timestamp_offset: self.timestamp_offset,
@@ -114,7 +114,7 @@
 /// elapsed time. Comparing the byte rate with the rung's rate instead would report a title that needs less
 /// than its rung as a shortage.
 #[derive(Debug)]
-pub struct Meter {
+pub struct DeliveryMeter {
     /// RTP ticks per second.
     clock_rate: u32,
     /// SSRC of the current source.
@@ -140,19 +140,19 @@
 /// Length in microseconds after which a window ends while the packet interval is unknown.
 const WINDOW_WITHOUT_INTERVAL_US: u64 = 2_000_000;
 
-/// The result of one window of a [`Meter`].
+/// The result of one window of a [`DeliveryMeter`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Flow {
+pub struct DeliverySample {
     /// Fraction of the due media that arrived, from 0 to 1.
-    pub share: f64,
+    pub delivered_fraction: f64,
     /// Packets received.
     pub packets: u32,
 }
 
-impl Meter {
+impl DeliveryMeter {
     /// Creates a meter and starts a window. `clock_rate` is in ticks per second, `now_us` in microseconds.
-    pub fn new(clock_rate: u32, now_us: u64) -> Meter {
-        Meter {
+    pub fn new(clock_rate: u32, now_us: u64) -> DeliveryMeter {
+        DeliveryMeter {
             clock_rate,
             source: None,
             window_start_us: now_us,
@@ -166,7 +166,7 @@
     }
 
     /// Records a packet from the node. Packets that are not RTP are ignored.
-    pub fn saw(&mut self, packet: &[u8]) {
+    pub fn record(&mut self, packet: &[u8]) {
         let Some((seq, timestamp, source)) = parse_header(packet) else { return };
         self.received += 1;
         if self.source != Some(source) {
@@ -198,7 +198,7 @@
 
     /// Ends the window and starts the next. Returns `None`, and extends the window, while too few packets
     /// were due for a measurement.
-    pub fn take(&mut self, now_us: u64) -> Option<Flow> {
+    pub fn finish_window(&mut self, now_us: u64) -> Option<DeliverySample> {
         let elapsed_us = now_us.saturating_sub(self.window_start_us);
         let due = elapsed_us * u64::from(self.clock_rate) / 1_000_000;
         let sufficient = match self.ticks_per_packet {
@@ -217,13 +217,16 @@
         // Packets arrive in bursts, so a tenth of the window's media may still be in transit.
         let media_time_fraction =
             if due_ticks <= 0.0 { 1.0 } else { (f64::from(self.media_ticks) / (0.9 * due_ticks)).min(1.0) };
-        let flow = Flow { share: received_fraction * media_time_fraction, packets: self.received };
+        let sample = DeliverySample {
+            delivered_fraction: received_fraction * media_time_fraction,
+            packets: self.received,
+        };
         (self.window_start_us, self.received, self.expected, self.media_ticks) = (now_us, 0, 0, 0);
-        Some(flow)
+        Some(sample)
     }
 
     /// Discards the current window and starts a new one, after a pause.
     pub fn restart(&mut self, now_us: u64) {
-        *self = Meter::new(self.clock_rate, now_us);
+        *self = DeliveryMeter::new(self.clock_rate, now_us);
     }
 }
--- a/crates/rtsp/src/rtcp.rs
+++ b/crates/rtsp/src/rtcp.rs
@@ -11,19 +11,19 @@
 
 /// A viewer's reception report on one source (RFC 3550, 6.4.1).
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Heard {
+pub struct ReceptionReport {
     /// Fraction of packets lost since the viewer's previous report, from 0 to 1.
-    pub lost: f64,
+    pub fraction_lost: f64,
     /// Interarrival jitter in RTP ticks.
-    pub jitter: u32,
+    pub jitter_ticks: u32,
 }
 
 /// Returns the reception report on `ssrc` in a compound packet, or `None` if it has none or can't be parsed.
-pub fn heard(packet: &[u8], ssrc: u32) -> Option<Heard> {
+pub fn reception_report(packet: &[u8], ssrc: u32) -> Option<ReceptionReport> {
     let read = |block: rtcp_types::ReportBlock| {
-        (block.ssrc() == ssrc).then(|| Heard {
-            lost: f64::from(block.fraction_lost()) / 256.0,
-            jitter: block.interarrival_jitter(),
+        (block.ssrc() == ssrc).then(|| ReceptionReport {
+            fraction_lost: f64::from(block.fraction_lost()) / 256.0,
+            jitter_ticks: block.interarrival_jitter(),
         })
     };
     Compound::parse(packet).ok()?.filter_map(Result::ok).find_map(|packet| match packet {
@@ -34,13 +34,13 @@
 }
 
 /// Returns whether a compound packet contains a BYE.
-pub fn says_bye(packet: &[u8]) -> bool {
+pub fn contains_bye(packet: &[u8]) -> bool {
     let Ok(compound) = Compound::parse(packet) else { return false };
     compound.filter_map(Result::ok).any(|packet| matches!(packet, Packet::Bye(_)))
 }
 
 /// Builds a BYE of one source.
-pub fn bye(ssrc: u32) -> BytesMut {
+pub fn build_bye(ssrc: u32) -> BytesMut {
     use rtcp_types::RtcpPacketWriterExt;
     let builder = Bye::builder().add_source(ssrc);
     let mut packet = vec![0; 8];
@@ -50,7 +50,7 @@
 
 /// How the sender reports of a node are rewritten for the viewer's stream.
 #[derive(Clone, Copy, Debug)]
-pub struct Sent {
+pub struct SenderMapping {
     /// SSRC of the node's current stream.
     pub source: u32,
     /// SSRC of the viewer's stream.
@@ -65,7 +65,7 @@
 
 /// Rewrites a compound packet of the current source in place. Returns false if it is from another source or
 /// can't be parsed, and must be dropped.
-pub fn rewrite(packet: &mut [u8], mapping: Sent) -> bool {
+pub fn rewrite(packet: &mut [u8], mapping: SenderMapping) -> bool {
     let mut at = 0;
     let mut from_source = false;
     let word = |p: &[u8], at: usize| u32::from_be_bytes([p[at], p[at + 1], p[at + 2], p[at + 3]]);
--- a/crates/rtsp/tests/both_sides.rs
+++ b/crates/rtsp/tests/both_sides.rs
@@ -2,9 +2,9 @@
 //! are delayed, lost, duplicated, rejected or carry a wrong session or CSeq, and connections break. Guards
 //! against a state that a viewer can't leave.
 
-use ashglade_rtsp::client::{Answer, Client, Purpose, State};
-use ashglade_rtsp::messages::{self, Channels};
-use ashglade_rtsp::server::{Server, State as ServerState, Step};
+use ashglade_rtsp::client::{Client, Purpose, ResponseOutcome, State};
+use ashglade_rtsp::messages::{self, InterleavedChannels};
+use ashglade_rtsp::server::{RequestAction, Server, State as ServerState};
 use ashglade_rtsp::{Request, Response};
 use expect_test::expect;
 use rtsp_types::{Method, StatusCode, Url, headers};
@@ -24,7 +24,10 @@
             let mut response = messages::response(status, messages::cseq(request).as_deref());
             if *request.method() == Method::Setup && status == StatusCode::Ok {
                 response.insert_header(headers::SESSION, "5;timeout=20");
-                response.insert_header(headers::TRANSPORT, Channels { rtp: 8, rtcp: 9 }.granted(None));
+                response.insert_header(
+                    headers::TRANSPORT,
+                    InterleavedChannels { rtp: 8, rtcp: 9 }.transport_header(None),
+                );
             }
             response
         };
@@ -70,7 +73,7 @@
         now_us += u64::from(scheduler.rand_range(1_000..200_000));
         let mut sent: Vec<Request> = vec![];
         // The viewer sends a random request unless one is pending.
-        if !server.waits() {
+        if !server.awaits_response() {
             let methods = [
                 Method::Setup,
                 Method::Play,
@@ -86,14 +89,16 @@
             if let Some(session) = &session {
                 request.insert_header(headers::SESSION, session.as_str());
             }
-            match server.request(&request, |_| Some(1)) {
-                Step::Ask(_) if client.state() == State::Init => sent.push(client.setup(0, now_us)),
-                Step::Ask(_) => return "over",
-                Step::Play { range } => sent.push(client.play(range, now_us)),
-                Step::Pause => sent.push(client.pause(now_us)),
-                Step::Leave(_) => sent.push(client.teardown(now_us)),
-                Step::Track { .. } => unreachable!("one track"),
-                Step::Reply(_) => {}
+            match server.handle_request(&request, |_| Some(1)) {
+                RequestAction::RequestSession(_) if client.state() == State::Init => {
+                    sent.push(client.setup(0, now_us))
+                }
+                RequestAction::RequestSession(_) => return "over",
+                RequestAction::Play { range } => sent.push(client.play(range, now_us)),
+                RequestAction::Pause => sent.push(client.pause(now_us)),
+                RequestAction::EndSession(_) => sent.push(client.teardown(now_us)),
+                RequestAction::SetupTrack { .. } => unreachable!("one track"),
+                RequestAction::Respond(_) => {}
             }
         }
         if client.state() == State::Playing && scheduler.rand_range(0..4) == 0 {
@@ -110,29 +115,33 @@
         // Responses arrive in order, each at its arrival time or after the previous one.
         while in_flight.first().is_some_and(|(arrival_us, _)| *arrival_us <= now_us) {
             let (_, response) = in_flight.remove(0);
-            match client.answered(&response) {
-                Answer::Done(Purpose::Setup { .. }) => {
-                    server.granted("abc".into(), 1);
+            match client.handle_response(&response) {
+                ResponseOutcome::Completed(Purpose::Setup { .. }) => {
+                    server.session_accepted("abc".into(), 1);
                     session = Some("abc".into());
                 }
-                Answer::Done(Purpose::Play) => drop(server.plays(None, None)),
-                Answer::Done(Purpose::Pause) => drop(server.paused()),
-                Answer::Done(Purpose::Teardown) => return "torn down",
-                Answer::Refused(Purpose::Setup { .. }, status) => {
-                    server.turned_away(status, None);
+                ResponseOutcome::Completed(Purpose::Play) => drop(server.play_accepted(None, None)),
+                ResponseOutcome::Completed(Purpose::Pause) => drop(server.pause_accepted()),
+                ResponseOutcome::Completed(Purpose::Teardown) => return "torn down",
+                ResponseOutcome::Rejected(Purpose::Setup { .. }, status) => {
+                    server.session_rejected(status, None);
                     return "refused";
                 }
-                Answer::Refused(Purpose::Play | Purpose::Pause, status) => drop(server.failed(status)),
-                Answer::Refused(..) | Answer::Done(_) | Answer::Stray => {}
+                ResponseOutcome::Rejected(Purpose::Play | Purpose::Pause, status) => {
+                    drop(server.request_failed(status))
+                }
+                ResponseOutcome::Rejected(..)
+                | ResponseOutcome::Completed(_)
+                | ResponseOutcome::Unmatched => {}
             }
             // Both state machines agree once no request is pending.
-            if !server.waits() && server.state() == ServerState::Playing {
+            if !server.awaits_response() && server.state() == ServerState::Playing {
                 assert_eq!(client.state(), State::Playing, "seed {seed}");
             }
         }
-        if client.overdue(now_us, RESPONSE_TIMEOUT_US) {
-            if server.waits() {
-                server.failed(StatusCode::GatewayTimeout);
+        if client.has_overdue_request(now_us, RESPONSE_TIMEOUT_US) {
+            if server.awaits_response() {
+                server.request_failed(StatusCode::GatewayTimeout);
             }
             return "overdue";
         }
@@ -141,7 +150,7 @@
         }
     }
     // No request may be pending forever: the last steps took far longer than the response timeout.
-    assert!(!server.waits(), "seed {seed}: a viewer's request is still pending");
+    assert!(!server.awaits_response(), "seed {seed}: a viewer's request is still pending");
     "at rest"
 }
 
--- a/crates/rtsp/tests/codec.rs
+++ b/crates/rtsp/tests/codec.rs
@@ -1,6 +1,6 @@
 //! Tests the codec with partial, pipelined and malicious input.
 
-use ashglade_rtsp::{Codec, Fault, Limits, Packet};
+use ashglade_rtsp::{Codec, CodecError, Limits, Packet};
 use bytes::BytesMut;
 use expect_test::expect;
 use proptest::prelude::*;
@@ -17,14 +17,15 @@
             format!("{} +{}", u16::from(response.status()), response.body().len())
         }
         Packet::Frame { channel, payload } => format!("${channel} {}", payload.len()),
-        Packet::Raw(bytes) => format!("raw ${} {}", bytes[1], bytes.len()),
+        Packet::RawFrame(bytes) => format!("raw ${} {}", bytes[1], bytes.len()),
     }
 }
 
 /// Decodes input that arrives in the given chunks, up to the first error.
 fn decode<'a>(limits: Limits, chunks: impl Iterator<Item = &'a [u8]>) -> Vec<String> {
     let (mut codec, mut buffer, mut decoded) = (Codec::new(limits), BytesMut::new(), Vec::new());
-    let status = |error: &Fault| error.status().map_or("closed".to_string(), |s| u16::from(s).to_string());
+    let status =
+        |error: &CodecError| error.status().map_or("closed".to_string(), |s| u16::from(s).to_string());
     for chunk in chunks {
         buffer.extend_from_slice(chunk);
         loop {
@@ -59,7 +60,7 @@
 
 #[test]
 fn each_error_has_its_status() {
-    let limits = Limits { line: 60, head: 120, body: 10, frame: 8 };
+    let limits = Limits { max_line_bytes: 60, max_head_bytes: 120, max_body_bytes: 10, max_frame_bytes: 8 };
     let long = "x".repeat(100);
     let cases = [
         format!("OPTIONS rtsp://h/{long} RTSP/1.0\r\n\r\n"),
@@ -126,7 +127,8 @@
         lengths in prop::collection::vec(0usize..50, 0..20),
     ) {
         let bytes = parts.concat();
-        let limits = Limits { line: 200, head: 400, body: 100, frame: 2000 };
+        let limits =
+            Limits { max_line_bytes: 200, max_head_bytes: 400, max_body_bytes: 100, max_frame_bytes: 2000 };
         let whole = decode(limits, [&bytes[..]].into_iter());
         let chunks = split(&bytes, &lengths);
         let chunked = decode(limits, chunks.iter().map(Vec::as_slice));
--- a/crates/rtsp/tests/machines.rs
+++ b/crates/rtsp/tests/machines.rs
@@ -1,9 +1,9 @@
 //! Tests the server state machine with each method in each state, authentication, and the rewriting and
 //! measuring of RTP and RTCP across changes of rendition.
 
-use ashglade_rtsp::messages::{self, Channels};
-use ashglade_rtsp::rewrite::{Meter, Rewriter};
-use ashglade_rtsp::server::{Server, State, Step};
+use ashglade_rtsp::messages::{self, InterleavedChannels};
+use ashglade_rtsp::rewrite::{DeliveryMeter, RtpRewriter};
+use ashglade_rtsp::server::{RequestAction, Server, State};
 use ashglade_rtsp::{Request, Response};
 use expect_test::expect;
 use rtsp_types::headers;
@@ -29,17 +29,17 @@
     format!("{}{}", u16::from(response.status()), extra.concat())
 }
 
-fn describe_step(step: &Step) -> String {
-    match step {
-        Step::Reply(response) => describe_response(response),
-        Step::Ask(request) => format!(
+fn describe_action(action: &RequestAction) -> String {
+    match action {
+        RequestAction::Respond(response) => describe_response(response),
+        RequestAction::RequestSession(request) => format!(
             "requests {} group {:?} top {:?} forwards {}",
-            request.title, request.group, request.top, request.rest
+            request.title, request.group, request.top_rung, request.forwarded_query
         ),
-        Step::Track { track } => format!("sets up track {track}"),
-        Step::Play { range } => format!("plays {range:?}"),
-        Step::Pause => "pauses".into(),
-        Step::Leave(response) => format!("ends the session, {}", describe_response(response)),
+        RequestAction::SetupTrack { track } => format!("sets up track {track}"),
+        RequestAction::Play { range } => format!("plays {range:?}"),
+        RequestAction::Pause => "pauses".into(),
+        RequestAction::EndSession(response) => format!("ends the session, {}", describe_response(response)),
     }
 }
 
@@ -49,12 +49,12 @@
 fn server_in_state(state: State) -> Server {
     let mut server = Server::new(60, &[90_000, 48_000]);
     if state != State::Init {
-        server.request(&request(Method::Setup, None, Some(TCP)), |_| Some(1));
-        server.granted("abc".into(), 0x1234);
+        server.handle_request(&request(Method::Setup, None, Some(TCP)), |_| Some(1));
+        server.session_accepted("abc".into(), 0x1234);
     }
     if state == State::Playing {
-        server.request(&request(Method::Play, Some("abc"), None), |_| Some(1));
-        server.plays(None, None);
+        server.handle_request(&request(Method::Play, Some("abc"), None), |_| Some(1));
+        server.play_accepted(None, None);
     }
     server
 }
@@ -78,8 +78,9 @@
     for method in methods {
         let actions = [State::Init, State::Ready, State::Playing].map(|state| {
             let session = (state != State::Init).then_some("abc");
-            describe_step(
-                &server_in_state(state).request(&request(method.clone(), session, Some(TCP)), |_| Some(1)),
+            describe_action(
+                &server_in_state(state)
+                    .handle_request(&request(method.clone(), session, Some(TCP)), |_| Some(1)),
             )
         });
         table += &format!("{}: {}\n", <&str>::from(&method), actions.join(" | "));
@@ -103,38 +104,43 @@
 #[test]
 fn each_invalid_request_has_its_status() {
     let mut trace = String::new();
-    let mut record = |case: &str, step: Step| trace += &format!("{case}: {}\n", describe_step(&step));
+    let mut record =
+        |case: &str, action: RequestAction| trace += &format!("{case}: {}\n", describe_action(&action));
     let setup = |transport: &str| request(Method::Setup, None, Some(transport));
     record(
         "udp",
-        server_in_state(State::Init).request(&setup("RTP/AVP;unicast;client_port=5000-5001"), |_| Some(1)),
+        server_in_state(State::Init)
+            .handle_request(&setup("RTP/AVP;unicast;client_port=5000-5001"), |_| Some(1)),
     );
     record(
         "udp, then tcp",
-        server_in_state(State::Init).request(&setup(&format!("RTP/AVP;unicast,{TCP}")), |_| Some(1)),
+        server_in_state(State::Init).handle_request(&setup(&format!("RTP/AVP;unicast,{TCP}")), |_| Some(1)),
     );
     record(
         "no transport",
-        server_in_state(State::Init).request(&request(Method::Setup, None, None), |_| Some(1)),
+        server_in_state(State::Init).handle_request(&request(Method::Setup, None, None), |_| Some(1)),
     );
-    record("unknown title", server_in_state(State::Init).request(&setup(TCP), |_| None));
+    record("unknown title", server_in_state(State::Init).handle_request(&setup(TCP), |_| None));
     record(
         "wrong session",
-        server_in_state(State::Ready).request(&request(Method::Play, Some("x"), None), |_| Some(1)),
+        server_in_state(State::Ready).handle_request(&request(Method::Play, Some("x"), None), |_| Some(1)),
     );
     record(
         "no session",
-        server_in_state(State::Ready).request(&request(Method::Play, None, None), |_| Some(1)),
+        server_in_state(State::Ready).handle_request(&request(Method::Play, None, None), |_| Some(1)),
     );
     let mut required = setup(TCP);
     required.insert_header(headers::REQUIRE, "com.example.x");
-    record("required", server_in_state(State::Init).request(&required, |_| Some(1)));
+    record("required", server_in_state(State::Init).handle_request(&required, |_| Some(1)));
     let mut bare = setup(TCP);
     bare.remove_header(&headers::CSEQ);
-    record("no CSeq", server_in_state(State::Init).request(&bare, |_| Some(1)));
+    record("no CSeq", server_in_state(State::Init).handle_request(&bare, |_| Some(1)));
     let mut server = server_in_state(State::Init);
-    server.request(&setup(TCP), |_| Some(1));
-    record("busy", Step::Reply(server.turned_away(StatusCode::ServiceUnavailable, Some(1.2))));
+    server.handle_request(&setup(TCP), |_| Some(1));
+    record(
+        "busy",
+        RequestAction::Respond(server.session_rejected(StatusCode::ServiceUnavailable, Some(1.2))),
+    );
     expect![[r#"
         udp: 461
         udp, then tcp: requests renewal group Some("a") top Some(2) forwards viewer=1.0
@@ -151,7 +157,7 @@
 
 #[test]
 fn the_first_interleaved_transport_is_selected() {
-    let default = Channels { rtp: 0, rtcp: 1 };
+    let default = InterleavedChannels { rtp: 0, rtcp: 1 };
     let results: Vec<String> = [
         "RTP/AVP/TCP",
         "RTP/AVP/TCP;interleaved=6",
@@ -163,7 +169,7 @@
         "RTP/AVP/UDP;unicast",
     ]
     .iter()
-    .map(|t| format!("{t} -> {:?}", messages::interleaved(t, default).map(|c| (c.rtp, c.rtcp))))
+    .map(|t| format!("{t} -> {:?}", messages::parse_transport(t, default).map(|c| (c.rtp, c.rtcp))))
     .collect();
     expect![[r#"
         RTP/AVP/TCP -> Some((0, 1))
@@ -188,7 +194,7 @@
 
 #[test]
 fn the_stream_is_continuous_across_renditions_wraparound_and_reordering() {
-    let mut rewriter = Rewriter::new(0xA, 90_000);
+    let mut rewriter = RtpRewriter::new(0xA, 90_000);
     let mut trace = String::new();
     // Time in ms, then sequence number, timestamp and SSRC from the node. A new SSRC is another rendition.
     for (ms, seq, timestamp, ssrc) in [
@@ -202,7 +208,7 @@
         (220, 10, 1789, 3),
     ] {
         let mut packet = rtp_packet(seq, timestamp, ssrc);
-        assert!(rewriter.rtp(&mut packet, ms * 1000));
+        assert!(rewriter.rewrite_rtp(&mut packet, ms * 1000));
         let word = |at: usize| u32::from_be_bytes(packet[at..at + 4].try_into().unwrap());
         trace += &format!("{ms}: seq {} ts {} ssrc {:x}\n", word(0) & 0xffff, word(4), word(8));
     }
@@ -217,9 +223,9 @@
         220: seq 5 ts 22600 ssrc a
     "#]]
     .assert_eq(&trace);
-    assert!(!rewriter.rtp(&mut [0x80; 5], 0), "too short to be RTP");
+    assert!(!rewriter.rewrite_rtp(&mut [0x80; 5], 0), "too short to be RTP");
     assert!(
-        !rewriter.rtp(&mut rtp_packet(1, 1, 1).iter().map(|b| b & 0x3f).collect::<Vec<_>>(), 0),
+        !rewriter.rewrite_rtp(&mut rtp_packet(1, 1, 1).iter().map(|b| b & 0x3f).collect::<Vec<_>>(), 0),
         "another version"
     );
 }
@@ -228,14 +234,14 @@
 fn the_meter_measures_the_delivered_fraction_from_headers() {
     // 50 packets per second for two seconds; each carries 20 ms.
     let delivered_fraction = |arrives: fn(u32) -> bool, speed: f64| {
-        let mut meter = Meter::new(90_000, 0);
-        meter.saw(&rtp_packet(0, 0, 1));
+        let mut meter = DeliveryMeter::new(90_000, 0);
+        meter.record(&rtp_packet(0, 0, 1));
         for n in 1..=(100.0 * speed) as u32 {
             if arrives(n) {
-                meter.saw(&rtp_packet(n as u16, n * 1800, 1));
+                meter.record(&rtp_packet(n as u16, n * 1800, 1));
             }
         }
-        format!("{:.2}", meter.take(2_000_000).unwrap().share)
+        format!("{:.2}", meter.finish_window(2_000_000).unwrap().delivered_fraction)
     };
     let fractions = [
         delivered_fraction(|_| true, 1.0),
@@ -244,14 +250,18 @@
         delivered_fraction(|_| false, 1.0),
     ];
     expect!["1.00 0.50 0.50 0.00"].assert_eq(&fractions.join(" "));
-    let mut meter = Meter::new(90_000, 0);
-    assert_eq!(meter.take(1_000_000), None, "the packet interval is not known yet");
-    assert_eq!(meter.take(2_000_000).unwrap().share, 0.0, "a node that sends nothing delivers nothing");
+    let mut meter = DeliveryMeter::new(90_000, 0);
+    assert_eq!(meter.finish_window(1_000_000), None, "the packet interval is not known yet");
+    assert_eq!(
+        meter.finish_window(2_000_000).unwrap().delivered_fraction,
+        0.0,
+        "a node that sends nothing delivers nothing"
+    );
     // One packet every 900 ms: a window of one second is too short, one of six seconds is sufficient.
-    let mut meter = Meter::new(90_000, 0);
-    (0..8).for_each(|n| meter.saw(&rtp_packet(n, u32::from(n) * 81_000, 1)));
-    assert_eq!(meter.take(1_000_000), None);
-    assert!(meter.take(6_300_000).unwrap().share > 0.98);
+    let mut meter = DeliveryMeter::new(90_000, 0);
+    (0..8).for_each(|n| meter.record(&rtp_packet(n, u32::from(n) * 81_000, 1)));
+    assert_eq!(meter.finish_window(1_000_000), None);
+    assert!(meter.finish_window(6_300_000).unwrap().delivered_fraction > 0.98);
 }
 
 #[test]
@@ -268,35 +278,39 @@
     let two_tracks = |_: &str| Some(2);
     let mut trace = String::new();
     let mut server = Server::new(60, &[90_000, 48_000]);
-    let mut record = |case: &str, step: Step| trace += &format!("{case}: {}\n", describe_step(&step));
+    let mut record =
+        |case: &str, action: RequestAction| trace += &format!("{case}: {}\n", describe_action(&action));
     let tcp = "RTP/AVP/TCP;unicast;interleaved=0-1";
     record(
         "SETUP of the whole presentation",
-        server.request(&build("t", None, Method::Setup, tcp), two_tracks),
+        server.handle_request(&build("t", None, Method::Setup, tcp), two_tracks),
     );
-    record("unknown third track", server.request(&build("t/track3", None, Method::Setup, tcp), two_tracks));
-    record("audio first", server.request(&build("t/track2", None, Method::Setup, tcp), two_tracks));
-    record("accepted", Step::Reply(server.granted("abc".into(), 0x22)));
+    record(
+        "unknown third track",
+        server.handle_request(&build("t/track3", None, Method::Setup, tcp), two_tracks),
+    );
+    record("audio first", server.handle_request(&build("t/track2", None, Method::Setup, tcp), two_tracks));
+    record("accepted", RequestAction::Respond(server.session_accepted("abc".into(), 0x22)));
     record(
         "video without the session",
-        server.request(&build("t/track1", None, Method::Setup, "RTP/AVP/TCP"), two_tracks),
+        server.handle_request(&build("t/track1", None, Method::Setup, "RTP/AVP/TCP"), two_tracks),
     );
     record(
         "audio again",
-        server.request(&build("t/track2", Some("abc"), Method::Setup, "RTP/AVP/TCP"), two_tracks),
+        server.handle_request(&build("t/track2", Some("abc"), Method::Setup, "RTP/AVP/TCP"), two_tracks),
     );
     record(
         "video on the channels of audio",
-        server.request(&build("t/track1", Some("abc"), Method::Setup, tcp), two_tracks),
+        server.handle_request(&build("t/track1", Some("abc"), Method::Setup, tcp), two_tracks),
     );
     let other = "RTP/AVP/TCP;unicast;interleaved=4-5";
-    record("video", server.request(&build("t/track1", Some("abc"), Method::Setup, other), two_tracks));
-    record("accepted", Step::Reply(server.track_granted(0x11)));
+    record("video", server.handle_request(&build("t/track1", Some("abc"), Method::Setup, other), two_tracks));
+    record("accepted", RequestAction::Respond(server.track_accepted(0x11)));
     record(
         "play one of two",
-        server.request(&build("t/track1", Some("abc"), Method::Play, other), two_tracks),
+        server.handle_request(&build("t/track1", Some("abc"), Method::Play, other), two_tracks),
     );
-    record("play both", server.request(&build("t", Some("abc"), Method::Play, other), two_tracks));
+    record("play both", server.handle_request(&build("t", Some("abc"), Method::Play, other), two_tracks));
     expect![[r#"
         SETUP of the whole presentation: 459
         unknown third track: 404
@@ -315,17 +329,24 @@
 
 #[test]
 fn digest_authentication_follows_rfc_2617() {
-    use ashglade_rtsp::digest::{Users, answer};
+    use ashglade_rtsp::digest::{Credentials, response_digest};
     // The example of RFC 2617, 3.5, which uses the method GET.
     let qop = Some(("auth", "00000001", "0a4f113b"));
     let nonce = "dcd98b7102dd2f0e8b11d0f600bfb0c093";
     let get = Method::Extension("GET".parse().unwrap());
-    let response =
-        answer("testrealm@host.com", "Mufasa", "Circle Of Life", nonce, &get, "/dir/index.html", qop);
+    let response = response_digest(
+        "testrealm@host.com",
+        "Mufasa",
+        "Circle Of Life",
+        nonce,
+        &get,
+        "/dir/index.html",
+        qop,
+    );
     assert_eq!(response, "6629fae49393a05397450978507c4ef1");
 
-    let users = Users { realm: "lessons".into(), users: vec![("agent".into(), "pa,ss".into())] };
-    let mut server = Server::new(60, &[90_000]).guarded(std::sync::Arc::new(users), "n1".into());
+    let users = Credentials { realm: "lessons".into(), users: vec![("agent".into(), "pa,ss".into())] };
+    let mut server = Server::new(60, &[90_000]).with_authentication(std::sync::Arc::new(users), "n1".into());
     let mut trace = String::new();
     for (case, user, password, nonce, uri) in [
         ("nothing", "", "", "", ""),
@@ -336,16 +357,16 @@
     ] {
         let mut request = request(Method::Describe, None, None);
         if !user.is_empty() {
-            let response = answer("lessons", user, password, nonce, &Method::Describe, uri, None);
+            let response = response_digest("lessons", user, password, nonce, &Method::Describe, uri, None);
             let header = format!(
                 "Digest username=\"{user}\", realm=\"lessons\", nonce=\"{nonce}\", uri=\"{uri}\",response={response}"
             );
             request.insert_header(headers::AUTHORIZATION, header);
         }
-        trace += &format!("{case}: {}\n", describe_step(&server.request(&request, |_| Some(1))));
+        trace += &format!("{case}: {}\n", describe_action(&server.handle_request(&request, |_| Some(1))));
     }
     let options = request(Method::Options, None, None);
-    trace += &format!("OPTIONS: {}\n", describe_step(&server.request(&options, |_| Some(1))));
+    trace += &format!("OPTIONS: {}\n", describe_action(&server.handle_request(&options, |_| Some(1))));
     expect![[r#"
         nothing: 401
         right: 200
@@ -360,16 +381,16 @@
 #[test]
 fn rtcp_matches_the_stream_that_the_viewer_receives() {
     use ashglade_rtsp::rtcp;
-    let mut rewriter = Rewriter::new(0xA, 90_000);
+    let mut rewriter = RtpRewriter::new(0xA, 90_000);
     for n in 0..10u16 {
-        rewriter.rtp(&mut rtp_packet(n, u32::from(n) * 1800, 1), 0);
+        rewriter.rewrite_rtp(&mut rtp_packet(n, u32::from(n) * 1800, 1), 0);
     }
-    rewriter.rtp(&mut rtp_packet(70, 5, 2), 1_000_000);
+    rewriter.rewrite_rtp(&mut rtp_packet(70, 5, 2), 1_000_000);
     // A sender report and a source description of the new source, which has sent one packet.
     let mut report =
         vec![0x80, 200, 0, 6, 0, 0, 0, 2, 1, 2, 3, 4, 5, 6, 7, 8, 0, 0, 0, 5, 0, 0, 0, 1, 0, 0, 0, 9];
     report.extend([0x81, 202, 0, 3, 0, 0, 0, 2, 1, 1, b'n', 0, 0, 0, 0, 0]);
-    assert!(rewriter.rtcp(&mut report));
+    assert!(rewriter.rewrite_rtcp(&mut report));
     let word = |at: usize| u32::from_be_bytes(report[at..at + 4].try_into().unwrap());
     let summary = format!(
         "ssrc {:x} and {:x}, ntp kept {}, ts {}, {} packets",
@@ -380,17 +401,17 @@
         word(20)
     );
     expect!["ssrc a and a, ntp kept true, ts 106200, 11 packets"].assert_eq(&summary);
-    assert!(!rewriter.rtcp(&mut [0x80, 200, 0, 6, 0, 0, 0, 1].repeat(4)), "the previous source");
-    assert!(!rewriter.rtcp(&mut [0x80, 200, 0, 60, 0, 0, 0, 2]), "its length exceeds the packet");
-    assert!(rtcp::says_bye(&rtcp::bye(5)));
+    assert!(!rewriter.rewrite_rtcp(&mut [0x80, 200, 0, 6, 0, 0, 0, 1].repeat(4)), "the previous source");
+    assert!(!rewriter.rewrite_rtcp(&mut [0x80, 200, 0, 60, 0, 0, 0, 2]), "its length exceeds the packet");
+    assert!(rtcp::contains_bye(&rtcp::build_bye(5)));
     // A receiver report with a quarter of the packets lost.
     let report = [
         0x81, 201, 0, 7, 0, 0, 0, 9, 0, 0, 0, 0xA, 64, 0, 0, 3, 0, 0, 0, 9, 0, 0, 0, 44, 0, 0, 0, 0, 0, 0, 0,
         0,
     ];
-    expect!["Some(Heard { lost: 0.25, jitter: 44 }) None"].assert_eq(&format!(
+    expect!["Some(ReceptionReport { fraction_lost: 0.25, jitter_ticks: 44 }) None"].assert_eq(&format!(
         "{:?} {:?}",
-        rtcp::heard(&report, 0xA),
-        rtcp::heard(&report, 0xB)
+        rtcp::reception_report(&report, 0xA),
+        rtcp::reception_report(&report, 0xB)
     ));
 }
--- a/crates/standin/src/connection.rs
+++ b/crates/standin/src/connection.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use ashglade_judge::What;
-use ashglade_rtsp::messages::{self, Channels};
-use ashglade_rtsp::presentation::{self, rung_of};
+use ashglade_rtsp::messages::{self, InterleavedChannels};
+use ashglade_rtsp::presentation::{self, rung_from_url};
 use ashglade_rtsp::{Codec, Packet, Request, Response, load};
 use futures_util::{SinkExt, StreamExt};
 use rtsp_types::{Method, StatusCode, Url, headers};
@@ -140,7 +140,7 @@
             && let Some((viewer, again)) = viewer_of(url)
         {
             let title = url.path().trim_start_matches('/').split('/').next().unwrap_or_default().to_string();
-            let (node, connection, rung) = (self.name(), self.number, rung_of(url).unwrap_or(0));
+            let (node, connection, rung) = (self.name(), self.number, rung_from_url(url).unwrap_or(0));
             self.node.log.saw(What::Setup { node, connection, viewer, again, title, rung });
         }
         self.session = Some(format!("{}", self.number));
@@ -185,8 +185,10 @@
                     return Reply::Now(messages::response(StatusCode::SessionNotFound, cseq.as_deref()));
                 };
                 streams.for_each(|(_, other)| other.playing = true);
-                let switch = request.header(&messages::switch_stream());
-                if let Some(rung) = switch.and_then(|v| rung_of(&messages::switched_to(v.as_str())?)) {
+                let switch = request.header(&messages::switch_stream_header());
+                if let Some(rung) =
+                    switch.and_then(|v| rung_from_url(&messages::parse_switch_stream(v.as_str())?))
+                {
                     // Another rendition has an SSRC, a sequence and a clock of its own.
                     let (rate, playing) = (self.fleet.rate(track, rung), stream.playing);
                     let clock_rate = CLOCK_RATES[usize::from(track)];
@@ -200,7 +202,8 @@
                 let mine = (self.number, 0)..=(self.number, u8::MAX);
                 let begins = state.streams.range(mine).map(|(&(_, track), stream)| stream.begins(track));
                 let base = request.request_uri().map(|url| url.path().to_string()).unwrap_or_default();
-                let info = presentation::write_rtp_info(begins, |track| format!("{base}/track{}", track + 1));
+                let info =
+                    presentation::format_rtp_info(begins, |track| format!("{base}/track{}", track + 1));
                 ok.insert_header(headers::RTP_INFO, info);
             }
             Method::Pause => {
@@ -219,7 +222,7 @@
             Method::GetParameter => {
                 let load = self.fleet.load(&self.node);
                 ok.insert_header(headers::CONTENT_TYPE, "text/parameters");
-                ok = ok.replace_body(load.body().into_bytes());
+                ok = ok.replace_body(load.to_parameters().into_bytes());
             }
             Method::Options => {
                 ok.insert_header(headers::PUBLIC, "OPTIONS, SETUP, PLAY, PAUSE, TEARDOWN, GET_PARAMETER");
@@ -246,15 +249,15 @@
         let load = self.fleet.load(&self.node);
         let answer = |status| {
             let mut answer = messages::response(status, cseq.as_deref());
-            answer.insert_header(load::header(), load.line());
+            answer.insert_header(load::header_name(), load.to_header_value());
             // Marks the answer to a SETUP, refused or not, for the record.
             answer.insert_header(headers::SESSION, format!("{};timeout=60", self.number));
             answer
         };
-        let left_out = Channels { rtp: track * 2, rtcp: track * 2 + 1 };
+        let left_out = InterleavedChannels { rtp: track * 2, rtcp: track * 2 + 1 };
         let transport = request.header(&headers::TRANSPORT);
-        let channels = transport.and_then(|t| messages::interleaved(t.as_str(), left_out));
-        let rung = request.request_uri().and_then(rung_of);
+        let channels = transport.and_then(|t| messages::parse_transport(t.as_str(), left_out));
+        let rung = request.request_uri().and_then(rung_from_url);
         let (channels, rung) = match (channels, rung) {
             _ if !further && chance < faults.resets + faults.errors => {
                 return Reply::Now(answer(StatusCode::InternalServerError));
@@ -280,7 +283,7 @@
             state.busy_until = at + faults.delay;
         }
         let mut ok = answer(StatusCode::Ok);
-        ok.insert_header(headers::TRANSPORT, channels.granted(Some(random as u32)));
+        ok.insert_header(headers::TRANSPORT, channels.transport_header(Some(random as u32)));
         match faults.answer_lost && !further {
             true => Reply::Lost,
             false if faults.delay.is_zero() => Reply::Now(ok),
--- a/crates/standin/src/hls.rs
+++ b/crates/standin/src/hls.rs
@@ -116,7 +116,7 @@
     let mut reply = Response::new(Full::new(body.into()));
     *reply.status_mut() = status;
     reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(kind));
-    if let Ok(load) = HeaderValue::from_str(&fleet.load(node).line()) {
+    if let Ok(load) = HeaderValue::from_str(&fleet.load(node).to_header_value()) {
         reply.headers_mut().insert("x-load", load);
     }
     Ok(reply)
--- a/crates/standin/src/node.rs
+++ b/crates/standin/src/node.rs
@@ -7,8 +7,8 @@
 
 use ashglade_judge::What;
 use ashglade_rtsp::Packet;
-use ashglade_rtsp::load::Load;
-use ashglade_rtsp::presentation::Begins;
+use ashglade_rtsp::load::NodeLoad;
+use ashglade_rtsp::presentation::TrackStart;
 use bytes::BytesMut;
 use rtcp_types::{RtcpPacketWriterExt, SenderReport};
 use tokio::net::{TcpListener, TcpSocket};
@@ -115,7 +115,7 @@
     pub busy_until: Instant,
     /// HLS sessions, by viewer and try: their number, and when they were last heard of.
     pub hls: BTreeMap<String, (u64, Instant)>,
-    frozen: Load,
+    frozen: NodeLoad,
     next_connection: u64,
     pub random: oorandom::Rand64,
 }
@@ -217,7 +217,7 @@
                 orphaned: Duration::ZERO,
                 busy_until: started,
                 hls: BTreeMap::new(),
-                frozen: Load::default(),
+                frozen: NodeLoad::default(),
                 next_connection: 0,
                 random: oorandom::Rand64::new(u128::from(seed) << 32 | i as u128),
             };
@@ -333,14 +333,14 @@
     }
 
     /// What the node tells of its load.
-    pub(crate) fn load(&self, node: &Node) -> Load {
+    pub(crate) fn load(&self, node: &Node) -> NodeLoad {
         let state = node.state();
         if state.faults.reports_frozen {
             return state.frozen;
         }
         let streams = state.sessions() as f64;
         drop(state);
-        Load {
+        NodeLoad {
             link: Some(self.asked(node) / self.link(node)),
             uplink: Some(self.uplink_level(node.spec.rack)),
             streams: Some(streams),
@@ -443,9 +443,9 @@
     }
 
     /// The next packet.
-    pub(crate) fn begins(&self, track: u8) -> Begins {
+    pub(crate) fn begins(&self, track: u8) -> TrackStart {
         let (seq, rtptime) = (self.seq.wrapping_add(1), self.ts.wrapping_add(self.step()));
-        Begins { track, seq: Some(seq), rtptime: Some(rtptime) }
+        TrackStart { track, seq: Some(seq), rtptime: Some(rtptime) }
     }
 
     fn send(&mut self, passed: f64, share: f64) {
--- a/crates/standin/src/viewer.rs
+++ b/crates/standin/src/viewer.rs
@@ -143,7 +143,7 @@
 
 impl Connection {
     /// Sends a request: SETUP of a track, anything else for the whole presentation.
-    async fn send(&mut self, method: Method, track: Option<u8>) -> Result<(), ashglade_rtsp::Fault> {
+    async fn send(&mut self, method: Method, track: Option<u8>) -> Result<(), ashglade_rtsp::CodecError> {
         self.cseq += 1;
         let mut url = self.url.clone();
         if let Some(track) = track {
@@ -154,8 +154,8 @@
             request.insert_header(headers::SESSION, session.as_str());
         }
         if let Some(track) = track {
-            let channels = messages::Channels { rtp: track * 2, rtcp: track * 2 + 1 };
-            request.insert_header(headers::TRANSPORT, channels.granted(None));
+            let channels = messages::InterleavedChannels { rtp: track * 2, rtcp: track * 2 + 1 };
+            request.insert_header(headers::TRANSPORT, channels.transport_header(None));
         }
         self.framed.send(Packet::Request(request)).await
     }
