--- a/crates/hls/src/playlist.rs
+++ b/crates/hls/src/playlist.rs
@@ -86,9 +86,9 @@
 }
 
 impl PlaylistLocation<'_> {
-    /// A fast path of `resolve` for plain relative URIs, which nearly all are. Returns
-    /// `None` if the URI has a scheme, an absolute path, a dot segment or characters that may need encoding,
-    /// so that the result always equals that of a join.
+    /// Fast path of `resolve` for plain relative URIs, which nearly all are. Returns `None` if the URI has a
+    /// scheme, an absolute path, a dot segment or characters that may need encoding, so that the result
+    /// always equals that of `Url::join`.
     fn resolve_plain(&self, uri: &str) -> Option<String> {
         let unreserved = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.' | b'~');
         let path = uri.split('?').next().unwrap_or_default();
@@ -119,8 +119,7 @@
     }
 }
 
-/// Checks a playlist's size, encoding and first line, and returns its lines with their numbers, starting at
-/// 1.
+/// Checks a playlist's size, encoding and first line, and returns its lines, numbered from 1.
 fn numbered_lines(bytes: &[u8]) -> Result<impl Iterator<Item = (usize, &str)>, PlaylistError> {
     if bytes.len() > MAX_PLAYLIST_BYTES {
         return Err(PlaylistError::TooLarge { bytes: bytes.len() });
--- a/crates/rtsp/src/server.rs
+++ b/crates/rtsp/src/server.rs
@@ -89,8 +89,8 @@
 }
 
 impl Server {
-    /// Creates the state of a new connection. `clock_rates` holds the RTP
-    /// clock rate of each track, in ticks per second.
+    /// Creates the state of a new connection. `clock_rates` holds the RTP clock rate of each track, in ticks
+    /// per second.
     pub fn new(session_timeout_seconds: u32, clock_rates: &[u32]) -> Server {
         Server {
             state: State::Init,
