--- a/crates/rtsp/tests/both_sides.rs
+++ b/crates/rtsp/tests/both_sides.rs
@@ -93,7 +93,7 @@
                 RequestAction::RequestSession(_) if client.state() == State::Init => {
                     sent.push(client.setup(0, now_us))
                 }
-                RequestAction::RequestSession(_) => return "over",
+                RequestAction::RequestSession(_) => return "ended",
                 RequestAction::Play { range } => sent.push(client.play(range, now_us)),
                 RequestAction::Pause => sent.push(client.pause(now_us)),
                 RequestAction::EndSession(_) => sent.push(client.teardown(now_us)),
