--- a/crates/rtsp/src/server.rs
+++ b/crates/rtsp/src/server.rs
@@ -1,35 +1,37 @@
-//! The viewer's side of one connection as a state machine (RFC 2326, A.2), without I/O: a request in, a [`Step`]
-//! out. Requests are answered in the order in which they came (RFC 2326, 9.1), so the shell hands in the next one
-//! only when the last has its answer. What each method comes to in each state is the table in [`allowed`].
+//! The RTSP server state machine (RFC 2326, A.2) of one viewer connection, without I/O: it takes a request
+//! and returns a [`RequestAction`]. Requests are answered in the order in which they arrived (RFC 2326, 9.1),
+//! so the caller passes the next request only after the previous one was answered. [`check_method`] lists the
+//! methods that are valid in each state.
 
 use std::sync::Arc;
 
 use rtsp_types::headers;
 use rtsp_types::{Method, StatusCode};
 
-use crate::digest::Users;
-use crate::messages::{self, Channels};
-use crate::presentation::{self, Asked};
+use crate::digest::Credentials;
+use crate::messages::{self, InterleavedChannels};
+use crate::presentation::{self, PresentationUrl};
 use crate::{Request, Response};
 
-/// What the shell is to do about a request.
+/// The action that the caller performs for a request.
 #[derive(Debug)]
-pub enum Step {
-    /// Write this answer.
-    Reply(Response),
-    /// Ask for a session; the answer comes later by [`Server::granted`] or [`Server::turned_away`].
-    Ask(Asked),
-    /// Set up a further track of the session where it is; the answer comes by [`Server::track_granted`] or
-    /// [`Server::failed`].
-    Track { track: u8 },
-    /// Let the node play; the answer comes by [`Server::plays`] or [`Server::failed`].
+pub enum RequestAction {
+    /// Send this response.
+    Respond(Response),
+    /// Request a session, then call [`Server::session_accepted`] or [`Server::session_rejected`].
+    RequestSession(PresentationUrl),
+    /// Set up another track of the session at its node, then call [`Server::track_accepted`] or
+    /// [`Server::request_failed`].
+    SetupTrack { track: u8 },
+    /// Send PLAY to the node, then call [`Server::play_accepted`] or [`Server::request_failed`].
     Play { range: Option<String> },
-    /// Let the node pause; the answer comes by [`Server::paused`] or [`Server::failed`].
+    /// Send PAUSE to the node, then call [`Server::pause_accepted`] or [`Server::request_failed`].
     Pause,
-    /// The session ends; write this answer.
-    Leave(Response),
+    /// End the session and send this response.
+    EndSession(Response),
 }
 
+/// State of the viewer's session (RFC 2326, A.2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     Init,
@@ -37,20 +39,22 @@
     Playing,
 }
 
-pub const PUBLIC: &str = "OPTIONS, DESCRIBE, SETUP, PLAY, PAUSE, TEARDOWN, GET_PARAMETER, SET_PARAMETER";
+/// Value of the `Public` and `Allow` headers: the supported methods.
+pub const SUPPORTED_METHODS: &str =
+    "OPTIONS, DESCRIBE, SETUP, PLAY, PAUSE, TEARDOWN, GET_PARAMETER, SET_PARAMETER";
 
-/// Whether a method is taken in a state, or the status that it is refused with.
+/// Checks whether a method is valid in a state. Returns the status of the error response if it is not.
 ///
 /// | method | Init | Ready | Playing |
 /// | --- | --- | --- | --- |
-/// | OPTIONS, DESCRIBE, GET_PARAMETER, SET_PARAMETER | taken | taken | taken |
-/// | SETUP | taken | a further track | 455 |
-/// | PLAY | 455 | taken | taken |
-/// | PAUSE | 455 | taken | taken |
-/// | TEARDOWN | 454 | taken | taken |
+/// | OPTIONS, DESCRIBE, GET_PARAMETER, SET_PARAMETER | valid | valid | valid |
+/// | SETUP | valid | another track | 455 |
+/// | PLAY | 455 | valid | valid |
+/// | PAUSE | 455 | valid | valid |
+/// | TEARDOWN | 454 | valid | valid |
 /// | ANNOUNCE, RECORD, REDIRECT | 405 | 405 | 405 |
 /// | any other | 501 | 501 | 501 |
-pub fn allowed(method: &Method, state: State) -> Result<(), StatusCode> {
+pub fn check_method(method: &Method, state: State) -> Result<(), StatusCode> {
     use State::*;
     match (method, state) {
         (Method::Options | Method::Describe | Method::GetParameter | Method::SetParameter, _) => Ok(()),
@@ -65,41 +69,44 @@
     }
 }
 
-/// One viewer's connection, with at most one session.
+/// One viewer connection with at most one session.
 pub struct Server {
     state: State,
-    /// The CSeq that waits for its answer.
+    /// CSeq of the request that awaits its response.
     cseq: Option<String>,
-    /// The track whose SETUP waits, and its channels.
-    asked: (u8, Channels),
-    /// Tracks that are set up.
-    tracks: Vec<(u8, Channels)>,
+    /// Track and channels of the last SETUP.
+    pending_setup: (u8, InterleavedChannels),
+    /// Tracks that were set up, with their interleaved channels.
+    tracks: Vec<(u8, InterleavedChannels)>,
+    /// Session identifier sent to the viewer.
     session: Option<String>,
-    /// Seconds that a session lasts without a word from the viewer.
-    timeout: u32,
-    /// RTP ticks a second of each track.
+    /// Session timeout in seconds, without requests or RTCP from the viewer.
+    session_timeout_seconds: u32,
+    /// RTP clock rate of each track, in ticks per second.
     clock_rates: Vec<u32>,
-    /// Who may come in, and the nonce of this connection.
-    users: Option<(Arc<Users>, String)>,
+    /// Users that may connect, with the nonce of this connection. `None` disables authentication.
+    credentials: Option<(Arc<Credentials>, String)>,
 }
 
 impl Server {
-    pub fn new(timeout: u32, clock_rates: &[u32]) -> Server {
+    /// Creates the state of a new connection. `clock_rates` holds the RTP clock rate of each track, in ticks
+    /// per second.
+    pub fn new(session_timeout_seconds: u32, clock_rates: &[u32]) -> Server {
         Server {
             state: State::Init,
             cseq: None,
-            asked: (0, Channels { rtp: 0, rtcp: 1 }),
+            pending_setup: (0, InterleavedChannels { rtp: 0, rtcp: 1 }),
             tracks: Vec::new(),
             session: None,
-            timeout,
+            session_timeout_seconds,
             clock_rates: clock_rates.to_vec(),
-            users: None,
+            credentials: None,
         }
     }
 
-    /// Lets in only these users, who answer a challenge with this nonce.
-    pub fn guarded(mut self, users: Arc<Users>, nonce: String) -> Server {
-        self.users = Some((users, nonce));
+    /// Enables Digest authentication with these users and the nonce of this connection.
+    pub fn with_authentication(mut self, credentials: Arc<Credentials>, nonce: String) -> Server {
+        self.credentials = Some((credentials, nonce));
         self
     }
 
@@ -107,190 +114,220 @@
         self.state
     }
 
-    /// A request waits for its answer; the next must not be handed in before.
-    pub fn waits(&self) -> bool {
+    /// Returns whether a request awaits its response. Until then, no other request may be passed in.
+    pub fn awaits_response(&self) -> bool {
         self.cseq.is_some()
     }
 
-    /// The viewer's channels of a track that is set up.
-    pub fn channels(&self, track: u8) -> Option<Channels> {
+    /// Returns the viewer's channels of a track that was set up.
+    pub fn channels(&self, track: u8) -> Option<InterleavedChannels> {
         self.tracks.iter().find(|(t, _)| *t == track).map(|&(_, channels)| channels)
     }
 
-    /// The track whose RTCP comes on this channel.
-    pub fn track_of_rtcp(&self, channel: u8) -> Option<u8> {
+    /// Returns the track whose RTCP is received on this channel.
+    pub fn track_for_rtcp_channel(&self, channel: u8) -> Option<u8> {
         self.tracks.iter().find(|(_, channels)| channels.rtcp == channel).map(|&(track, _)| track)
     }
 
     fn reply(&self, status: StatusCode, cseq: Option<&str>) -> Response {
         let mut response = messages::response(status, cseq);
         if let Some(session) = &self.session {
-            response.insert_header(headers::SESSION, format!("{session};timeout={}", self.timeout));
+            response.insert_header(
+                headers::SESSION,
+                format!("{session};timeout={}", self.session_timeout_seconds),
+            );
         }
         match status {
-            StatusCode::NotImplemented => response.insert_header(headers::PUBLIC, PUBLIC),
-            StatusCode::MethodNotAllowed => response.insert_header(headers::ALLOW, PUBLIC),
+            StatusCode::NotImplemented => response.insert_header(headers::PUBLIC, SUPPORTED_METHODS),
+            StatusCode::MethodNotAllowed => response.insert_header(headers::ALLOW, SUPPORTED_METHODS),
             _ => {}
         }
         response
     }
 
-    /// Takes the next request; `titles` tells how many tracks a title has, if there is one of that name.
-    pub fn request(&mut self, request: &Request, titles: impl Fn(&str) -> Option<u8>) -> Step {
+    /// Handles the next request. `titles` returns the number of tracks of a title, or `None` for an unknown
+    /// title.
+    pub fn handle_request(
+        &mut self,
+        request: &Request,
+        titles: impl Fn(&str) -> Option<u8>,
+    ) -> RequestAction {
         let cseq = messages::cseq(request);
-        let refuse = |status| Step::Reply(self.reply(status, cseq.as_deref()));
+        let respond = |status| RequestAction::Respond(self.reply(status, cseq.as_deref()));
         if cseq.is_none() {
-            return refuse(StatusCode::BadRequest);
+            return respond(StatusCode::BadRequest);
         }
-        if let Some(wanted) = request.header(&headers::REQUIRE).or(request.header(&headers::PROXY_REQUIRE)) {
+        if let Some(required) = request.header(&headers::REQUIRE).or(request.header(&headers::PROXY_REQUIRE))
+        {
             let mut reply = self.reply(StatusCode::OptionNotSupported, cseq.as_deref());
-            reply.insert_header(headers::UNSUPPORTED, wanted.as_str());
-            return Step::Reply(reply);
+            reply.insert_header(headers::UNSUPPORTED, required.as_str());
+            return RequestAction::Respond(reply);
         }
-        if let Some((users, nonce)) = &self.users
+        if let Some((credentials, nonce)) = &self.credentials
             && *request.method() != Method::Options
             && !request
                 .header(&headers::AUTHORIZATION)
-                .is_some_and(|header| users.admits(header.as_str(), nonce, request.method()))
+                .is_some_and(|header| credentials.verify(header.as_str(), nonce, request.method()))
         {
             let mut reply = self.reply(StatusCode::Unauthorized, cseq.as_deref());
-            reply.insert_header(headers::WWW_AUTHENTICATE, users.challenge(nonce));
-            return Step::Reply(reply);
+            reply.insert_header(headers::WWW_AUTHENTICATE, credentials.challenge(nonce));
+            return RequestAction::Respond(reply);
         }
         let session = request.header(&headers::SESSION).map(|s| messages::session_id(s.as_str()));
         if session.is_some() && session != self.session.as_deref() {
-            return refuse(StatusCode::SessionNotFound);
+            return respond(StatusCode::SessionNotFound);
         }
-        if let Err(status) = allowed(request.method(), self.state) {
-            return refuse(status);
+        if let Err(status) = check_method(request.method(), self.state) {
+            return respond(status);
         }
-        // What concerns a session must name it (RFC 2326, 12.37).
-        let named = session.is_some();
+        // Requests within a session must carry its identifier (RFC 2326, 12.37).
+        let names_session = session.is_some();
         match request.method() {
             Method::Options => {
                 let mut reply = self.reply(StatusCode::Ok, cseq.as_deref());
-                reply.insert_header(headers::PUBLIC, PUBLIC);
-                Step::Reply(reply)
+                reply.insert_header(headers::PUBLIC, SUPPORTED_METHODS);
+                RequestAction::Respond(reply)
             }
-            // Without parameters they test that the session lives (RFC 2326, 10.8); there are none to get or set.
+            // Without parameters these test whether the session is alive (RFC 2326, 10.8). No parameters are
+            // supported.
             Method::GetParameter | Method::SetParameter if request.body().is_empty() => {
-                refuse(StatusCode::Ok)
+                respond(StatusCode::Ok)
             }
-            Method::GetParameter | Method::SetParameter => refuse(StatusCode::ParameterNotUnderstood),
+            Method::GetParameter | Method::SetParameter => respond(StatusCode::ParameterNotUnderstood),
             Method::Describe => self.describe(request, cseq, titles),
-            Method::Setup => self.setup(request, cseq, named, titles),
-            _ if !named => refuse(StatusCode::SessionNotFound),
+            Method::Setup => self.setup(request, cseq, names_session, titles),
+            _ if !names_session => respond(StatusCode::SessionNotFound),
             Method::Teardown => {
                 let reply = self.reply(StatusCode::Ok, cseq.as_deref());
-                self.ended();
-                Step::Leave(reply)
+                self.session_ended();
+                RequestAction::EndSession(reply)
             }
             _ if self.tracks.len() > 1
-                && request.request_uri().and_then(Asked::read).is_some_and(|a| a.track.is_some()) =>
+                && request
+                    .request_uri()
+                    .and_then(PresentationUrl::parse)
+                    .is_some_and(|url| url.track.is_some()) =>
             {
-                refuse(StatusCode::OnlyAggregateOperationAllowed)
+                respond(StatusCode::OnlyAggregateOperationAllowed)
             }
-            Method::Pause if self.state == State::Ready => refuse(StatusCode::Ok),
+            Method::Pause if self.state == State::Ready => respond(StatusCode::Ok),
             Method::Pause => {
                 self.cseq = cseq;
-                Step::Pause
+                RequestAction::Pause
             }
             _ => {
                 self.cseq = cseq;
-                Step::Play { range: request.header(&headers::RANGE).map(|r| r.as_str().to_string()) }
+                RequestAction::Play { range: request.header(&headers::RANGE).map(|r| r.as_str().to_string()) }
             }
         }
     }
 
-    fn describe(&self, request: &Request, cseq: Option<String>, titles: impl Fn(&str) -> Option<u8>) -> Step {
-        let asked = request.request_uri().and_then(Asked::read);
-        let tracks = asked.as_ref().and_then(|asked| titles(&asked.title));
-        let (Some(asked), Some(tracks), Some(url)) = (asked, tracks, request.request_uri()) else {
-            return Step::Reply(self.reply(StatusCode::NotFound, cseq.as_deref()));
+    fn describe(
+        &self,
+        request: &Request,
+        cseq: Option<String>,
+        titles: impl Fn(&str) -> Option<u8>,
+    ) -> RequestAction {
+        let presentation = request.request_uri().and_then(PresentationUrl::parse);
+        let tracks = presentation.as_ref().and_then(|presentation| titles(&presentation.title));
+        let (Some(presentation), Some(tracks), Some(url)) = (presentation, tracks, request.request_uri())
+        else {
+            return RequestAction::Respond(self.reply(StatusCode::NotFound, cseq.as_deref()));
         };
-        let accepts = request.header(&headers::ACCEPT).is_none_or(|accept| {
+        let accepts_sdp = request.header(&headers::ACCEPT).is_none_or(|accept| {
             let accept = accept.as_str();
             accept.contains("application/sdp") || accept.contains("*/*") || accept.contains("application/*")
         });
-        if !accepts {
-            return Step::Reply(self.reply(StatusCode::NotAcceptable, cseq.as_deref()));
+        if !accepts_sdp {
+            return RequestAction::Respond(self.reply(StatusCode::NotAcceptable, cseq.as_deref()));
         }
         let mut reply = self.reply(StatusCode::Ok, cseq.as_deref());
         reply.insert_header(headers::CONTENT_TYPE, "application/sdp");
         let (host, port) = (url.host_str().unwrap_or("localhost"), url.port().unwrap_or(554));
-        reply.insert_header(headers::CONTENT_BASE, format!("rtsp://{host}:{port}/{}/", asked.title));
+        reply.insert_header(headers::CONTENT_BASE, format!("rtsp://{host}:{port}/{}/", presentation.title));
         let query = url.query().unwrap_or_default();
         let rates = self.clock_rates.iter().take(tracks.into());
-        Step::Reply(reply.replace_body(presentation::describe(&asked.title, query, rates.copied())))
+        RequestAction::Respond(reply.replace_body(presentation::describe_sdp(
+            &presentation.title,
+            query,
+            rates.copied(),
+        )))
     }
 
     fn setup(
         &mut self,
         request: &Request,
         cseq: Option<String>,
-        named: bool,
+        names_session: bool,
         titles: impl Fn(&str) -> Option<u8>,
-    ) -> Step {
-        let refuse = |this: &Server, status| Step::Reply(this.reply(status, cseq.as_deref()));
-        let Some(asked) = request.request_uri().and_then(Asked::read) else {
-            return refuse(self, StatusCode::NotFound);
+    ) -> RequestAction {
+        let reject = |this: &Server, status| RequestAction::Respond(this.reply(status, cseq.as_deref()));
+        let Some(presentation) = request.request_uri().and_then(PresentationUrl::parse) else {
+            return reject(self, StatusCode::NotFound);
         };
-        let Some(tracks) = titles(&asked.title) else { return refuse(self, StatusCode::NotFound) };
-        // One session for each connection: a SETUP that names none, while there is one, can't be meant.
-        if self.state == State::Ready && !named {
-            return refuse(self, StatusCode::MethodNotValidInThisState);
+        let Some(tracks) = titles(&presentation.title) else { return reject(self, StatusCode::NotFound) };
+        // A connection has at most one session, so a SETUP must name the existing one.
+        if self.state == State::Ready && !names_session {
+            return reject(self, StatusCode::MethodNotValidInThisState);
         }
-        let track = match asked.track {
+        let track = match presentation.track {
             Some(track) if track < tracks => track,
-            Some(_) => return refuse(self, StatusCode::NotFound),
+            Some(_) => return reject(self, StatusCode::NotFound),
             None if tracks == 1 => 0,
-            None => return refuse(self, StatusCode::AggregateOperationNotAllowed),
+            None => return reject(self, StatusCode::AggregateOperationNotAllowed),
         };
         if self.channels(track).is_some() {
-            return refuse(self, StatusCode::MethodNotValidInThisState);
+            return reject(self, StatusCode::MethodNotValidInThisState);
         }
-        let left_out = Channels { rtp: track * 2, rtcp: track * 2 + 1 };
+        let default = InterleavedChannels { rtp: track * 2, rtcp: track * 2 + 1 };
         let transport = request.header(&headers::TRANSPORT).map(|transport| transport.as_str());
-        let taken = |c: &Channels| self.tracks.iter().any(|(_, other)| other.overlaps(c));
-        let channels = transport.and_then(|t| messages::interleaved(t, left_out)).filter(|c| !taken(c));
-        let Some(channels) = channels else { return refuse(self, StatusCode::UnsupportedTransport) };
-        (self.cseq, self.asked) = (cseq, (track, channels));
-        if self.state == State::Ready { Step::Track { track } } else { Step::Ask(asked) }
+        let in_use = |c: &InterleavedChannels| self.tracks.iter().any(|(_, other)| other.overlaps(c));
+        let channels = transport.and_then(|t| messages::parse_transport(t, default)).filter(|c| !in_use(c));
+        let Some(channels) = channels else { return reject(self, StatusCode::UnsupportedTransport) };
+        (self.cseq, self.pending_setup) = (cseq, (track, channels));
+        if self.state == State::Ready {
+            RequestAction::SetupTrack { track }
+        } else {
+            RequestAction::RequestSession(presentation)
+        }
     }
 
-    /// The session that was asked for is set up at a node; `session` is its name towards the viewer.
-    pub fn granted(&mut self, session: String, ssrc: u32) -> Response {
+    /// Returns the response to the SETUP that requested the session, which is now set up at a node. `session`
+    /// is the identifier sent to the viewer.
+    pub fn session_accepted(&mut self, session: String, ssrc: u32) -> Response {
         (self.state, self.session) = (State::Ready, Some(session));
-        self.track_granted(ssrc)
+        self.track_accepted(ssrc)
     }
 
-    /// The track that was asked for is set up at the node.
-    pub fn track_granted(&mut self, ssrc: u32) -> Response {
-        self.tracks.push(self.asked);
+    /// Returns the response to a SETUP whose track is now set up at the node.
+    pub fn track_accepted(&mut self, ssrc: u32) -> Response {
+        self.tracks.push(self.pending_setup);
         let cseq = self.cseq.take();
         let mut reply = self.reply(StatusCode::Ok, cseq.as_deref());
-        reply.insert_header(headers::TRANSPORT, self.asked.1.granted(Some(ssrc)));
+        reply.insert_header(headers::TRANSPORT, self.pending_setup.1.transport_header(Some(ssrc)));
         reply
     }
 
-    /// The track that the viewer's SETUP is for.
-    pub fn track(&self) -> u8 {
-        self.asked.0
+    /// Returns the track of the viewer's last SETUP.
+    pub fn setup_track(&self) -> u8 {
+        self.pending_setup.0
     }
 
-    /// No session: a busy reply with the seconds after which to come again, or a failure.
-    pub fn turned_away(&mut self, status: StatusCode, retry_after: Option<f64>) -> Response {
+    /// Returns the response to a SETUP whose session was rejected or failed. A busy reply has `retry_after`
+    /// in seconds.
+    pub fn session_rejected(&mut self, status: StatusCode, retry_after: Option<f64>) -> Response {
         let cseq = self.cseq.take();
-        self.ended();
+        self.session_ended();
         let mut reply = self.reply(status, cseq.as_deref());
         if let Some(seconds) = retry_after {
-            messages::retry_after(&mut reply, seconds);
+            messages::set_retry_after(&mut reply, seconds);
         }
         reply
     }
 
-    /// The node plays; `range` and `rtp_info` as it told them.
-    pub fn plays(&mut self, range: Option<&str>, rtp_info: Option<&str>) -> Response {
+    /// Returns the response to PLAY after the node accepted it. `range` and `rtp_info` are header values from
+    /// the node's response.
+    pub fn play_accepted(&mut self, range: Option<&str>, rtp_info: Option<&str>) -> Response {
         self.state = State::Playing;
         let cseq = self.cseq.take();
         let mut reply = self.reply(StatusCode::Ok, cseq.as_deref());
@@ -303,20 +340,21 @@
         reply
     }
 
-    pub fn paused(&mut self) -> Response {
+    /// Returns the response to PAUSE after the node accepted it.
+    pub fn pause_accepted(&mut self) -> Response {
         self.state = State::Ready;
         let cseq = self.cseq.take();
         self.reply(StatusCode::Ok, cseq.as_deref())
     }
 
-    /// The node did not do what SETUP of a track, PLAY or PAUSE asked for.
-    pub fn failed(&mut self, status: StatusCode) -> Response {
+    /// Returns the response to a SETUP of another track, a PLAY or a PAUSE that the node did not carry out.
+    pub fn request_failed(&mut self, status: StatusCode) -> Response {
         let cseq = self.cseq.take();
         self.reply(status, cseq.as_deref())
     }
 
-    /// The session is over.
-    pub fn ended(&mut self) {
+    /// Resets the connection to state [`State::Init`] after the end of its session.
+    pub fn session_ended(&mut self) {
         (self.state, self.session) = (State::Init, None);
         self.tracks.clear();
     }
--- a/crates/standin/src/connection.rs
+++ b/crates/standin/src/connection.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use ashglade_judge::EventKind;
-use ashglade_rtsp::messages::{self, Channels};
-use ashglade_rtsp::presentation::{self, rung_of};
+use ashglade_rtsp::messages::{self, InterleavedChannels};
+use ashglade_rtsp::presentation::{self, rung_from_url};
 use ashglade_rtsp::{Codec, Packet, Request, Response, load};
 use futures_util::{SinkExt, StreamExt};
 use rtsp_types::{Method, StatusCode, Url, headers};
@@ -145,7 +145,7 @@
             && let Some((viewer, attempt)) = viewer_of(url)
         {
             let title = url.path().trim_start_matches('/').split('/').next().unwrap_or_default().to_string();
-            let (node, connection, rung) = (self.node_name(), self.number, rung_of(url).unwrap_or(0));
+            let (node, connection, rung) = (self.node_name(), self.number, rung_from_url(url).unwrap_or(0));
             self.node.recorder.record(EventKind::SetupReceived {
                 node,
                 connection,
@@ -208,8 +208,10 @@
                     ));
                 };
                 streams.for_each(|(_, other)| other.playing = true);
-                let switch = request.header(&messages::switch_stream());
-                if let Some(rung) = switch.and_then(|v| rung_of(&messages::switched_to(v.as_str())?)) {
+                let switch = request.header(&messages::switch_stream_header());
+                if let Some(rung) =
+                    switch.and_then(|v| rung_from_url(&messages::parse_switch_stream(v.as_str())?))
+                {
                     // Each rendition has its own SSRC, sequence numbers and timestamps.
                     let (rate, playing) = (self.fleet.rate(track, rung), stream.playing);
                     let clock_rate = CLOCK_RATES[usize::from(track)];
@@ -221,12 +223,13 @@
                 stream.playing = true;
                 ok.insert_header(headers::RANGE, "npt=0.000-");
                 let session_tracks = (self.number, 0)..=(self.number, u8::MAX);
-                let begins = state
+                let track_starts = state
                     .streams
                     .range(session_tracks)
                     .map(|(&(_, track), stream)| stream.next_packet(track));
                 let base = request.request_uri().map(|url| url.path().to_string()).unwrap_or_default();
-                let info = presentation::write_rtp_info(begins, |track| format!("{base}/track{}", track + 1));
+                let info =
+                    presentation::format_rtp_info(track_starts, |track| format!("{base}/track{}", track + 1));
                 ok.insert_header(headers::RTP_INFO, info);
             }
             Method::Pause => {
@@ -252,7 +255,7 @@
             Method::GetParameter => {
                 let load = self.fleet.load(&self.node);
                 ok.insert_header(headers::CONTENT_TYPE, "text/parameters");
-                ok = ok.replace_body(load.body().into_bytes());
+                ok = ok.replace_body(load.to_parameters().into_bytes());
             }
             Method::Options => {
                 ok.insert_header(headers::PUBLIC, "OPTIONS, SETUP, PLAY, PAUSE, TEARDOWN, GET_PARAMETER");
@@ -280,15 +283,15 @@
         let load = self.fleet.load(&self.node);
         let respond = |status| {
             let mut response = messages::response(status, cseq.as_deref());
-            response.insert_header(load::header(), load.line());
+            response.insert_header(load::header_name(), load.to_header_value());
             // Also on rejections: by this header a response to a SETUP is recognized and recorded.
             response.insert_header(headers::SESSION, format!("{};timeout=60", self.number));
             response
         };
-        let default_channels = Channels { rtp: track * 2, rtcp: track * 2 + 1 };
+        let default_channels = InterleavedChannels { rtp: track * 2, rtcp: track * 2 + 1 };
         let transport = request.header(&headers::TRANSPORT);
-        let channels = transport.and_then(|t| messages::interleaved(t.as_str(), default_channels));
-        let rung = request.request_uri().and_then(rung_of);
+        let channels = transport.and_then(|t| messages::parse_transport(t.as_str(), default_channels));
+        let rung = request.request_uri().and_then(rung_from_url);
         let (channels, rung) = match (channels, rung) {
             _ if !is_further_track && draw < faults.reset_fraction + faults.error_fraction => {
                 return Reply::Immediate(respond(StatusCode::InternalServerError));
@@ -314,7 +317,7 @@
             state.setup_queue_ends = at + faults.setup_delay;
         }
         let mut ok = respond(StatusCode::Ok);
-        ok.insert_header(headers::TRANSPORT, channels.granted(Some(random as u32)));
+        ok.insert_header(headers::TRANSPORT, channels.transport_header(Some(random as u32)));
         match faults.drop_setup_responses && !is_further_track {
             true => Reply::Dropped,
             false if faults.setup_delay.is_zero() => Reply::Immediate(ok),
--- a/crates/standin/src/node.rs
+++ b/crates/standin/src/node.rs
@@ -7,8 +7,8 @@
 
 use ashglade_judge::EventKind;
 use ashglade_rtsp::Packet;
-use ashglade_rtsp::load::Load;
-use ashglade_rtsp::presentation::Begins;
+use ashglade_rtsp::load::NodeLoad;
+use ashglade_rtsp::presentation::TrackStart;
 use bytes::BytesMut;
 use rtcp_types::{RtcpPacketWriterExt, SenderReport};
 use tokio::net::{TcpListener, TcpSocket};
@@ -132,7 +132,7 @@
     /// HLS sessions, by the viewer and attempt of their URLs: their number, and the time of their last
     /// request.
     pub hls_sessions: BTreeMap<String, (u64, Instant)>,
-    frozen_load: Load,
+    frozen_load: NodeLoad,
     last_connection: u64,
     pub random: oorandom::Rand64,
 }
@@ -241,7 +241,7 @@
                 orphaned_time: Duration::ZERO,
                 setup_queue_ends: started,
                 hls_sessions: BTreeMap::new(),
-                frozen_load: Load::default(),
+                frozen_load: NodeLoad::default(),
                 last_connection: 0,
                 random: oorandom::Rand64::new(u128::from(seed) << 32 | i as u128),
             };
@@ -366,14 +366,14 @@
     }
 
     /// Returns the load that a node reports.
-    pub(crate) fn load(&self, node: &Node) -> Load {
+    pub(crate) fn load(&self, node: &Node) -> NodeLoad {
         let state = node.state();
         if state.faults.freeze_load_reports {
             return state.frozen_load;
         }
         let streams = state.session_count() as f64;
         drop(state);
-        Load {
+        NodeLoad {
             link: Some(self.demand(node) / self.link_rate(node)),
             uplink: Some(self.uplink_demand(node.spec.rack)),
             streams: Some(streams),
@@ -484,9 +484,9 @@
     }
 
     /// Returns the sequence number and RTP timestamp of a track's next packet.
-    pub(crate) fn next_packet(&self, track: u8) -> Begins {
+    pub(crate) fn next_packet(&self, track: u8) -> TrackStart {
         let (seq, rtptime) = (self.seq.wrapping_add(1), self.ts.wrapping_add(self.timestamp_step()));
-        Begins { track, seq: Some(seq), rtptime: Some(rtptime) }
+        TrackStart { track, seq: Some(seq), rtptime: Some(rtptime) }
     }
 
     /// Sends the packets due after `elapsed` seconds, reduced to a fraction of the rate, and a sender report
--- a/crates/standin/src/viewer.rs
+++ b/crates/standin/src/viewer.rs
@@ -169,7 +169,7 @@
 
 impl Connection {
     /// Sends a request: for a track if one is given, as in SETUP, or else for the presentation.
-    async fn send(&mut self, method: Method, track: Option<u8>) -> Result<(), ashglade_rtsp::Fault> {
+    async fn send(&mut self, method: Method, track: Option<u8>) -> Result<(), ashglade_rtsp::CodecError> {
         self.cseq += 1;
         let mut url = self.url.clone();
         if let Some(track) = track {
@@ -180,8 +180,8 @@
             request.insert_header(headers::SESSION, session.as_str());
         }
         if let Some(track) = track {
-            let channels = messages::Channels { rtp: track * 2, rtcp: track * 2 + 1 };
-            request.insert_header(headers::TRANSPORT, channels.granted(None));
+            let channels = messages::InterleavedChannels { rtp: track * 2, rtcp: track * 2 + 1 };
+            request.insert_header(headers::TRANSPORT, channels.transport_header(None));
         }
         self.framed.send(Packet::Request(request)).await
     }
