--- a/crates/judge/src/fleet_rules.rs
+++ b/crates/judge/src/fleet_rules.rs
@@ -47,7 +47,7 @@
             }
             EventKind::PermitsGranted { voter, holder, process_id, round, permits, .. } => {
                 // The voter granted it after the relay had seen the request and before the relay saw the
-                // grant. However late both were recorded, a violation found from these two times is one.
+                // grant. However late both were recorded, a violation found from these two times is real.
                 let Some(&requested_at) = requested.get(&(*holder, *voter, *process_id, *round)) else {
                     continue;
                 };
--- a/crates/judge/src/rules.rs
+++ b/crates/judge/src/rules.rs
@@ -369,7 +369,7 @@
 /// period.
 fn check_drains(traffic: &TrafficRecord, requests: &Requests, setups: &[NodeSetup]) -> Finding {
     let grace = traffic.config.drain_grace;
-    // By director and node: the time of each listing, and whether it was ready.
+    // By director and node: the time of each listing, and whether the node was listed as ready.
     let mut listings: BTreeMap<(u16, &str), Vec<(f64, bool)>> = BTreeMap::new();
     for event in &traffic.events {
         if let EventKind::NodeListed { director, node, ready } = &event.kind {
