--- a/crates/director/tests/hls.rs
+++ b/crates/director/tests/hls.rs
@@ -6,39 +6,46 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ashglade_judge::{Plan, What};
-use ashglade_standin::hls_player::{Http, uris};
-use ashglade_standin::node::ColdPace;
-use ashglade_standin::{Fleet, Log, Spec};
+use ashglade_judge::{EventKind, RulesConfig};
+use ashglade_standin::hls_player::{HttpClient, uris};
+use ashglade_standin::node::SlowStart;
+use ashglade_standin::{Fleet, NodeSpec, TrafficRecorder};
 use expect_test::expect;
 use hyper::StatusCode;
 use support::director_of;
 
 /// Starts `count` nodes, each with a link of `link` kB/s. The rungs have 10 and 20 kB/s.
-async fn start_nodes(count: usize, link: f64) -> (Arc<Fleet>, Log, tempfile::TempDir) {
+async fn start_nodes(count: usize, link: f64) -> (Arc<Fleet>, TrafficRecorder, tempfile::TempDir) {
     let folder = tempfile::tempdir().unwrap();
-    let plan = Plan {
+    let plan = RulesConfig {
         groups: Vec::new(),
         nodes: Vec::new(),
         drain_grace: 0.0,
-        cold_from: 1.0,
-        warm_after: 0.0,
-        fall_multiple: 1.0,
-        fall_span: 1.0,
-        ration: None,
-        slack: 0.0,
-        shared: None,
+        slow_start_initial_fraction: 1.0,
+        slow_start_duration: 0.0,
+        overload_multiple: 1.0,
+        overload_window: 1.0,
+        retry_budget: None,
+        timing_tolerance: 0.0,
+        fleet_limits: None,
     };
-    let log = Log::create(&folder.path().join("traffic.jsonl"), &plan).unwrap();
-    let spec = |i| Spec { name: format!("n{i}"), rack: 0, places: 50, link, guard: true };
-    let cold_pace = ColdPace { from: 1.0, warm_after: 1e-3, multiple: 1e3, span: 1.0 };
+    let log = TrafficRecorder::create(&folder.path().join("traffic.jsonl"), &plan).unwrap();
+    let spec = |i| NodeSpec {
+        name: format!("n{i}"),
+        rack: 0,
+        max_sessions: 50,
+        link_kb_per_s: link,
+        rejects_when_full: true,
+    };
+    let cold_pace =
+        SlowStart { initial_fraction: 1.0, duration_s: 1e-3, overload_multiple: 1e3, overload_window_s: 1.0 };
     let specs = (0..count).map(spec).collect();
     let fleet =
         Fleet::start(specs, vec![f64::INFINITY], vec![10.0, 20.0], cold_pace, 1, log.clone()).await.unwrap();
     (fleet, log, folder)
 }
 
-async fn get(http: &mut Http, path: &str) -> (StatusCode, String) {
+async fn get(http: &mut HttpClient, path: &str) -> (StatusCode, String) {
     let response =
         tokio::time::timeout(Duration::from_secs(10), http.get(path)).await.expect("a response in time");
     let (status, _, body) = response.expect("a response");
@@ -63,19 +70,20 @@
     playlist.lines().filter(|l| !l.contains("SEQUENCE")).take(6).map(line).collect()
 }
 
-fn count_events(log: &Log, matches: fn(&What) -> bool) -> usize {
-    log.sights().iter().filter(|sight| matches(&sight.what)).count()
+fn count_events(log: &TrafficRecorder, matches: fn(&EventKind) -> bool) -> usize {
+    log.events().iter().filter(|event| matches(&event.kind)).count()
 }
 
-fn is_setup(event: &What) -> bool {
-    matches!(event, What::Setup { .. })
+fn is_setup(event: &EventKind) -> bool {
+    matches!(event, EventKind::SetupReceived { .. })
 }
 
 #[tokio::test]
 async fn a_player_gets_playlists_with_signed_uris_and_segments_through_the_director() {
     let (fleet, log, _folder) = start_nodes(1, 1000.0).await;
-    let director = director_of(&fleet.nodes.iter().map(|n| (n.address, n.http)).collect::<Vec<_>>()).await;
-    let mut http = Http::open(director.http).await.unwrap();
+    let director =
+        director_of(&fleet.nodes.iter().map(|n| (n.address, n.http_address)).collect::<Vec<_>>()).await;
+    let mut http = HttpClient::connect(director.http).await.unwrap();
     let (status, master) = get(&mut http, "/t/index.m3u8?viewer=7.0&group=lesson").await;
     assert_eq!(status, StatusCode::OK, "{master}");
     expect![[r#"
@@ -101,7 +109,7 @@
     let segment = uris(media.as_bytes())[0].clone();
     let (status, _, bytes) = http.get(&segment).await.unwrap();
     assert_eq!((status, bytes.len()), (StatusCode::OK, 20_000));
-    let (status, _, bytes) = http.get_with(&segment, Some("bytes=100-299")).await.unwrap();
+    let (status, _, bytes) = http.get_range(&segment, Some("bytes=100-299")).await.unwrap();
     assert_eq!((status, bytes.len()), (StatusCode::PARTIAL_CONTENT, 200));
     // A hundred immediate reloads cost the node no more than one: the director caches live playlists.
     for _ in 0..100 {
@@ -142,17 +150,18 @@
 #[tokio::test]
 async fn a_node_lost_between_two_segments_is_replaced_with_one_setup_at_a_time() {
     let (fleet, log, _folder) = start_nodes(2, 1000.0).await;
-    let director = director_of(&fleet.nodes.iter().map(|n| (n.address, n.http)).collect::<Vec<_>>()).await;
-    let mut http = Http::open(director.http).await.unwrap();
+    let director =
+        director_of(&fleet.nodes.iter().map(|n| (n.address, n.http_address)).collect::<Vec<_>>()).await;
+    let mut http = HttpClient::connect(director.http).await.unwrap();
     let (_, master) = get(&mut http, "/t/index.m3u8?viewer=1.0&group=lesson").await;
     let variant = uris(master.as_bytes()).pop().unwrap();
     assert_eq!(get(&mut http, &variant).await.0, StatusCode::OK);
-    let setup_nodes = |log: &Log| {
-        let name = |event: &What| match event {
-            What::Setup { node, .. } => Some(node.clone()),
+    let setup_nodes = |log: &TrafficRecorder| {
+        let name = |event: &EventKind| match event {
+            EventKind::SetupReceived { node, .. } => Some(node.clone()),
             _ => None,
         };
-        log.sights().iter().filter_map(|sight| name(&sight.what)).collect::<Vec<String>>()
+        log.events().iter().filter_map(|event| name(&event.kind)).collect::<Vec<String>>()
     };
     let first = setup_nodes(&log).pop().unwrap();
     fleet.stop(usize::from(first == "n1"));
@@ -183,12 +192,12 @@
 #[tokio::test]
 async fn a_token_of_another_director_gets_410_and_sets_nothing_up() {
     let (fleet, log, _folder) = start_nodes(1, 1000.0).await;
-    let addresses: Vec<_> = fleet.nodes.iter().map(|n| (n.address, n.http)).collect();
+    let addresses: Vec<_> = fleet.nodes.iter().map(|n| (n.address, n.http_address)).collect();
     let (first_director, second_director) = (director_of(&addresses).await, director_of(&addresses).await);
-    let mut http = Http::open(first_director.http).await.unwrap();
+    let mut http = HttpClient::connect(first_director.http).await.unwrap();
     let (_, master) = get(&mut http, "/t/index.m3u8?viewer=1.0").await;
     // The directors share their keys: the token is valid, but its session isn't known.
-    let mut second_http = Http::open(second_director.http).await.unwrap();
+    let mut second_http = HttpClient::connect(second_director.http).await.unwrap();
     let response = get(&mut second_http, &uris(master.as_bytes())[0]).await;
     expect![[r#"(410, "the session is over, or was another director's; begin anew\n")"#]]
         .assert_eq(&format!("{response:?}"));
@@ -199,8 +208,9 @@
 async fn a_session_takes_capacity_until_its_player_is_idle() {
     // Capacity for one session at the lower rung.
     let (fleet, _log, _folder) = start_nodes(1, 10.0).await;
-    let director = director_of(&fleet.nodes.iter().map(|n| (n.address, n.http)).collect::<Vec<_>>()).await;
-    let mut http = Http::open(director.http).await.unwrap();
+    let director =
+        director_of(&fleet.nodes.iter().map(|n| (n.address, n.http_address)).collect::<Vec<_>>()).await;
+    let mut http = HttpClient::connect(director.http).await.unwrap();
     let (status, master) = get(&mut http, "/t/index.m3u8?viewer=1.0&top=0").await;
     assert_eq!(status, StatusCode::OK);
     // The playlist offers no variant above the session's rung.
@@ -222,13 +232,14 @@
 async fn slow_and_large_request_headers_don_t_block_the_front() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let (fleet, _log, _folder) = start_nodes(1, 1000.0).await;
-    let director = director_of(&fleet.nodes.iter().map(|n| (n.address, n.http)).collect::<Vec<_>>()).await;
+    let director =
+        director_of(&fleet.nodes.iter().map(|n| (n.address, n.http_address)).collect::<Vec<_>>()).await;
     let mut slow = tokio::net::TcpStream::connect(director.http).await.unwrap();
     slow.write_all(b"GET /t/index.m3u8 HTTP/1.1\r\nhost: x\r\n").await.unwrap();
     let mut large = tokio::net::TcpStream::connect(director.http).await.unwrap();
     let head = format!("GET /t/index.m3u8 HTTP/1.1\r\nhost: x\r\nx: {}\r\n\r\n", "y".repeat(40_000));
     let _ = large.write_all(head.as_bytes()).await;
-    let mut http = Http::open(director.http).await.unwrap();
+    let mut http = HttpClient::connect(director.http).await.unwrap();
     assert_eq!(get(&mut http, "/t/index.m3u8?viewer=1.0").await.0, StatusCode::OK);
     let mut response = Vec::new();
     let read = tokio::time::timeout(Duration::from_secs(10), large.read_to_end(&mut response));
