--- a/crates/settings/build.rs
+++ b/crates/settings/build.rs
@@ -1,4 +1,5 @@
-//! Compiles the schemas with `protox`, a protobuf compiler written in Rust, so that building needs no `protoc`.
+//! Compiles the schemas with `protox`, a protobuf compiler written in Rust, so that building needs no
+//! `protoc`.
 
 use std::path::PathBuf;
 
