--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -56,7 +56,7 @@
     let (success, output) =
         play(&day(&[GENEROUS_LIMITS, SHORT_DAY, SHORT_SESSIONS], "trouble { kind: hang at_s: 0 for_s: 30 }"));
     assert!(success, "{output}");
-    assert!(output.contains(": 0 play,"), "{output}");
+    assert!(output.contains(": 0 started,"), "{output}");
 }
 
 #[test]
